--- a/cmd/eiderhaven/config.go
+++ b/cmd/eiderhaven/config.go
@@ -115,8 +115,8 @@
 // lacking switches off what the settings allow and the platform has no way to do, and says what that is. Nothing that a
 // rule needs is among it: notes are hints, and messages without a key are free of order.
 func lacking(set *rules.Settings) (without []string) {
-	if set.MayTell {
-		set.MayTell = false
+	if set.MayShareHints {
+		set.MayShareHints = false
 		without = append(without, "allowed.peers: senders have no way to talk to each other here, no notes are sent")
 	}
 	if slices.ContainsFunc(set.Classes, func(c rules.Class) bool { return c.KeepOrder }) {
--- a/internal/capacity/module_test.go
+++ b/internal/capacity/module_test.go
@@ -14,7 +14,7 @@
 // senderSettings are those of a sender of the operators' size, one class with the longest deadline that settings allow.
 func senderSettings(senders int) rules.Settings {
 	return rules.Settings{Seed: 1, Senders: senders, Tick: 5 * time.Millisecond, Slots: 400, MaxHeld: 1_000_000, MaxAttempts: 1_000_000,
-		ConnectTimeout: time.Second, KeepAlive: 10 * time.Second, MaxRetryAfter: 3 * time.Second, MayAdvise: true, MayCancel: true,
+		ConnectTimeout: time.Second, KeepAlive: 10 * time.Second, MaxRetryAfter: 3 * time.Second, MaySendRetryAfter: true, MayCancel: true,
 		AnswerGrace: 20 * time.Millisecond, DrainGrace: 500 * time.Millisecond, ColdShare: 0.2, WarmUp: 10 * time.Second,
 		FallWindow: 2 * time.Second, OverloadFactor: 2, LateHalving: true, OverShareWorth: 0.1, Kinds: []rules.Kind{{Batch: 1}},
 		Classes: []rules.Class{{Effect: rules.Safe, Aim: 2500 * time.Millisecond, Deadline: time.Hour, Worth: 1, LateWorth: 0.4}}}
@@ -33,8 +33,8 @@
 	events []rules.Event
 }
 
-func list(n int) rules.Listed {
-	l := rules.Listed{Whole: true}
+func list(n int) rules.ListUpdate {
+	l := rules.ListUpdate{Whole: true}
 	for i := range n {
 		l.Entries = append(l.Entries, rules.Entry{Endpoint: rules.EndpointID(i + 1), Destination: i})
 	}
@@ -53,9 +53,9 @@
 	for _, a := range m.s.Step(m.now, append(next, events...)) {
 		switch a := a.(type) {
 		case rules.Send:
-			end := rules.Ended{ID: a.ID, Attempt: m.tries[a.ID], Endpoint: a.Endpoint, Outcome: rules.OK, Elapsed: 5 * time.Millisecond, Over: true}
+			end := rules.AttemptEnded{ID: a.ID, Attempt: m.tries[a.ID], Endpoint: a.Endpoint, Outcome: rules.OK, Elapsed: 5 * time.Millisecond, Finished: true}
 			if int(a.Endpoint) <= m.down {
-				end.Outcome, end.Over = rules.ConnectError, false
+				end.Outcome, end.Finished = rules.ConnectError, false
 				m.tries[a.ID]++
 				m.calls++
 			} else {
@@ -85,7 +85,7 @@
 		if len(m.events) > 0 {
 			m.step()
 		} else {
-			m.step(rules.Woke{})
+			m.step(rules.WakeUp{})
 		}
 	}
 }
@@ -120,7 +120,7 @@
 		took := time.Since(began)
 		began = time.Now()
 		m.now += time.Second
-		m.step(rules.Listed{Entries: again.Entries[n/2 : n/2+1]})
+		m.step(rules.ListUpdate{Entries: again.Entries[n/2 : n/2+1]})
 		change := time.Since(began)
 		runtime.KeepAlive(m)
 		return map[string]float64{"a: bytes, listed only": listed - before, "b: bytes, used once": used - before,
--- a/internal/capacity/sparse_test.go
+++ b/internal/capacity/sparse_test.go
@@ -31,7 +31,7 @@
 
 func (w *watcher) Step(now time.Duration, events []rules.Event) []rules.Action {
 	for _, e := range events {
-		if e, ok := e.(rules.Ended); ok && (e.Outcome == rules.TimedOut || e.Outcome == rules.Reset || e.Outcome == rules.ConnectError || e.Outcome == rules.Cancelled) {
+		if e, ok := e.(rules.AttemptEnded); ok && (e.Outcome == rules.TimedOut || e.Outcome == rules.Reset || e.Outcome == rules.ConnectError || e.Outcome == rules.Cancelled) {
 			w.met.lost.Add(1)
 		}
 	}
--- a/internal/exchange/counts.go
+++ b/internal/exchange/counts.go
@@ -24,7 +24,7 @@
 }
 
 var outcomeNames = [rules.NotSent + 1]string{
-	rules.OK: "ok", rules.Errored: "errored", rules.Full: "full", rules.TimedOut: "timed_out",
+	rules.OK: "ok", rules.Errored: "errored", rules.Refused: "full", rules.TimedOut: "timed_out",
 	rules.ConnectError: "no_connection", rules.Reset: "reset", rules.Cancelled: "cancelled", rules.NotSent: "not_sent",
 }
 
--- a/internal/exchange/directory.go
+++ b/internal/exchange/directory.go
@@ -54,8 +54,8 @@
 }
 
 // update takes in a listing and returns it in the module's terms, with the peers that are no longer to be reached.
-func (d *directory) update(l Listing) (out rules.Listed, left []Peer) {
-	out = rules.Listed{Whole: l.Whole, Entries: make([]rules.Entry, 0, len(l.Hosts))}
+func (d *directory) update(l Listing) (out rules.ListUpdate, left []Peer) {
+	out = rules.ListUpdate{Whole: l.Whole, Entries: make([]rules.Entry, 0, len(l.Hosts))}
 	if more := len(l.Hosts) - len(d.rows); l.Whole && more > 0 {
 		d.rows = slices.Grow(d.rows, more)
 		d.byName.Reserve(more)
--- a/internal/exchange/directory_test.go
+++ b/internal/exchange/directory_test.go
@@ -21,8 +21,8 @@
 	dests map[int]bool
 }
 
-func (d *plain) update(l Listing) (out rules.Listed, left []Peer) {
-	out = rules.Listed{Whole: l.Whole, Entries: []rules.Entry{}}
+func (d *plain) update(l Listing) (out rules.ListUpdate, left []Peer) {
+	out = rules.ListUpdate{Whole: l.Whole, Entries: []rules.Entry{}}
 	named := map[rules.EndpointID]bool{}
 	for _, h := range l.Hosts {
 		id := d.ids[h.Name]
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -166,7 +166,7 @@
 	x.drain()
 	for _, o := range x.cfg.Ledger.Outages() {
 		if id := x.dir.id(o.Host); id != 0 {
-			x.events = append(x.events, rules.Remembered{Endpoint: id, Ago: time.Since(o.At), Rate: o.Rate})
+			x.events = append(x.events, rules.RememberedOutage{Endpoint: id, Age: time.Since(o.At), Rate: o.Rate})
 		} else {
 			x.record(x.cfg.Ledger.OutageOver(o.Host)) // it is listed no more
 		}
@@ -196,12 +196,12 @@
 		x.fail(h)
 		return
 	}
-	before := rules.Before{Attempts: o.Attempts, Failed: o.Failed, MayRun: o.MayRun}
+	before := rules.PriorAttempts{Count: o.Attempts, Failed: o.Failed, MayHaveRun: o.MayRun}
 	if o.MayRun {
-		h.mayRunAt, before.At = o.At, x.dir.id(o.Host)
+		h.mayRunAt, before.Endpoint = o.At, x.dir.id(o.Host)
 	}
 	x.events = append(x.events, rules.Arrived{ID: rules.MessageID(m.ID), Destination: m.Dest, Class: class,
-		Tenant: x.tenant(m.Tenant), Before: before})
+		Tenant: x.tenant(m.Tenant), Prior: before})
 }
 
 // tenant is the module's number for a tenant: beyond all of them for a message that names none of the settings', which has no
@@ -277,7 +277,9 @@
 }
 
 // ListFailed tells that the registry could not be heard.
-func (x *Exchange) ListFailed() { x.post(func() { x.events = append(x.events, rules.ListFailed{}) }) }
+func (x *Exchange) ListFailed() {
+	x.post(func() { x.events = append(x.events, rules.DiscoveryFailed{}) })
+}
 
 // SetAside asks for room in the ledger's folder for the list of endpoints, see [ledger.Ledger.SetAside]. It waits for the answer.
 func (x *Exchange) SetAside(bytes int64) bool {
@@ -295,7 +297,7 @@
 
 // Ending tells that Stop will be called after this time.
 func (x *Exchange) Ending(after time.Duration) {
-	x.post(func() { x.events = append(x.events, rules.Ending{After: after}) })
+	x.post(func() { x.events = append(x.events, rules.ShuttingDown{After: after}) })
 }
 
 // Noticed tells that the platform has accepted the notices of these messages.
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -71,7 +71,7 @@
 func testSettings() *rules.Settings {
 	return &rules.Settings{
 		Seed: 7, Senders: 2, Tick: time.Millisecond, Slots: 10, MaxHeld: 100, MaxAttempts: 4,
-		ConnectTimeout: time.Second, KeepAlive: 10 * time.Second, MaxRetryAfter: 3 * time.Second, MayAdvise: true,
+		ConnectTimeout: time.Second, KeepAlive: 10 * time.Second, MaxRetryAfter: 3 * time.Second, MaySendRetryAfter: true,
 		MayCancel: true, AnswerGrace: 20 * time.Millisecond, DrainGrace: time.Second, ColdShare: 0.2,
 		WarmUp: 10 * time.Second, FallWindow: 2 * time.Second, OverloadFactor: 2, LateHalving: true,
 		Kinds: []rules.Kind{{Batch: 1}, {Batch: 3}},
@@ -828,7 +828,7 @@
 }
 
 func TestCountersAreNamed(t *testing.T) {
-	text := Counts{In: 3, Outcomes: [rules.NotSent + 1]int{rules.Full: 2}}.LogValue().String()
+	text := Counts{In: 3, Outcomes: [rules.NotSent + 1]int{rules.Refused: 2}}.LogValue().String()
 	for _, want := range []string{"in=3", "full=2", "delivered=0", "not_sent=0"} {
 		if !strings.Contains(text, want) {
 			t.Errorf("%q not in %s", want, text)
@@ -935,7 +935,7 @@
 		r    ItemResult
 		want bool
 	}{{ItemResult{Outcome: rules.ConnectError}, true}, {ItemResult{Outcome: rules.ConnectError, NoPlace: true}, false},
-		{ItemResult{Outcome: rules.Full}, false}, {ItemResult{Outcome: rules.NotSent}, false},
+		{ItemResult{Outcome: rules.Refused}, false}, {ItemResult{Outcome: rules.NotSent}, false},
 		{ItemResult{Outcome: rules.Reset}, true}, {ItemResult{Outcome: rules.TimedOut}, true}, {ItemResult{Outcome: rules.Errored}, true}} {
 		if got := failed(c.r); got != c.want {
 			t.Errorf("%+v: failed %v, want %v", c.r, got, c.want)
--- a/internal/exchange/observe.go
+++ b/internal/exchange/observe.go
@@ -21,12 +21,12 @@
 	for _, t := range o.Transitions {
 		host := x.dir.host(t.Endpoint)
 		x.cfg.Log.Info("endpoint state", "endpoint", host.Name, "dest", host.Dest, "from", t.From, "to", t.To, "cause", t.Cause,
-			"failures", t.Failures, "failing_for", t.At-t.Failing, "next_call_in", t.Gap)
+			"failures", t.ConsecutiveFailures, "failing_for", t.At-t.FailingSince, "next_call_in", t.CallInterval)
 	}
 	for _, t := range o.Transitions {
 		x.remember(t)
 	}
-	for _, e := range o.Ends {
+	for _, e := range o.Undelivered {
 		x.counts.Ended[e.Reason]++
 		x.trace("ended", func() []any { return []any{"id", e.ID, "reason", e.Reason} })
 	}
@@ -40,7 +40,7 @@
 	case t.To == rules.Healthy:
 		x.record(x.cfg.Ledger.OutageOver(host))
 	case t.From == rules.Healthy:
-		if err := x.cfg.Ledger.Outage(ledger.Outage{Host: host, At: time.Now(), Rate: t.Rate}); !errors.Is(err, ledger.ErrFull) { // it is a hint
+		if err := x.cfg.Ledger.Outage(ledger.Outage{Host: host, At: time.Now(), Rate: t.PreOutageRate}); !errors.Is(err, ledger.ErrFull) { // it is a hint
 			x.record(err)
 		}
 	}
--- a/internal/exchange/step.go
+++ b/internal/exchange/step.go
@@ -74,7 +74,7 @@
 }
 
 func (x *Exchange) retryAfter(d time.Duration) time.Duration {
-	if !x.cfg.Settings.MayAdvise {
+	if !x.cfg.Settings.MaySendRetryAfter {
 		return 0
 	}
 	return d
@@ -86,7 +86,7 @@
 	x.expire(now)
 	if x.wakeAt >= 0 && x.wakeAt <= now {
 		x.wakeAt = -1
-		x.events = append(x.events, rules.Woke{})
+		x.events = append(x.events, rules.WakeUp{})
 	}
 	events := x.events
 	x.events, x.since = nil, -1
@@ -113,7 +113,7 @@
 			x.recall(attempt(a.ID, a.Attempt))
 		case rules.CloseIdle:
 			x.cfg.Caller.CloseIdle(x.dir.host(a.Endpoint).Peer)
-		case rules.Forgot:
+		case rules.EndpointForgotten:
 			x.dir.forget(a.Endpoint)
 		case rules.WakeAfter:
 			x.wakeAt = now + a.After
@@ -133,8 +133,8 @@
 func (x *Exchange) dated(a rules.Arrived, now time.Duration) rules.Arrived {
 	h := x.held[string(a.ID)]
 	a.TimeLeft = x.moment(h.msg.Deadline) - now
-	if a.Before.MayRun {
-		a.Before.Ago = max(0, time.Since(h.mayRunAt))
+	if a.Prior.MayHaveRun {
+		a.Prior.Age = max(0, time.Since(h.mayRunAt))
 	}
 	return a
 }
@@ -239,7 +239,7 @@
 		}
 		f.items = append(f.items, it)
 		f.call.Waiting = max(f.call.Waiting, patience)
-		if by := x.clock(now + s.Within); s.Within > 0 && (f.call.LeaveBy.IsZero() || by.Before(f.call.LeaveBy)) {
+		if by := x.clock(now + s.WriteWithin); s.WriteWithin > 0 && (f.call.LeaveBy.IsZero() || by.Before(f.call.LeaveBy)) {
 			f.call.LeaveBy = by
 		}
 	}
@@ -369,14 +369,14 @@
 		x.over(h)
 		over = true
 	default:
-		x.record(x.cfg.Ledger.Outcome(it.msg.ID, it.num, r.Outcome.MayRun(), failed(r)))
+		x.record(x.cfg.Ledger.Outcome(it.msg.ID, it.num, r.Outcome.MayHaveRun(), failed(r)))
 	}
 	x.trace("outcome", func() []any {
 		return []any{"id", it.msg.ID, "attempt", it.num, "endpoint", x.dir.host(f.ep).Name, "outcome", outcomeNames[r.Outcome],
 			"elapsed", x.now() - f.sent, "wait", r.Wait, "over", over}
 	})
-	x.events = append(x.events, rules.Ended{ID: rules.MessageID(it.msg.ID), Attempt: it.num, Endpoint: f.ep,
-		Outcome: r.Outcome, Elapsed: x.now() - f.sent, Over: over, Wait: r.Wait, NoSlot: r.NoSlot, NoPlace: r.NoPlace, Recalled: r.Recalled, Report: r.Report})
+	x.events = append(x.events, rules.AttemptEnded{ID: rules.MessageID(it.msg.ID), Attempt: it.num, Endpoint: f.ep,
+		Outcome: r.Outcome, Elapsed: x.now() - f.sent, Finished: over, RetryAfter: r.Wait, NoFreeSlot: r.NoSlot, ConnectionLimitReached: r.NoPlace, Recalled: r.Recalled, Report: r.Report})
 }
 
 // delivered ends a message that an endpoint has accepted. One accepted as its time ran out, or after it and before the step that
@@ -397,5 +397,5 @@
 
 // failed tells whether a result speaks of an endpoint in trouble rather than of a limit or a full table.
 func failed(r ItemResult) bool {
-	return r.Outcome.MayRun() || r.Outcome == rules.ConnectError && !r.NoPlace
+	return r.Outcome.MayHaveRun() || r.Outcome == rules.ConnectError && !r.NoPlace
 }
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	settings := &rules.Settings{Tick: time.Millisecond, Senders: 1, Slots: 4, MaxHeld: 100, MaxAttempts: 4, MayAdvise: true,
+	settings := &rules.Settings{Tick: time.Millisecond, Senders: 1, Slots: 4, MaxHeld: 100, MaxAttempts: 4, MaySendRetryAfter: true,
 		MaxRetryAfter: 3 * time.Second, Kinds: []rules.Kind{{Batch: 1}},
 		Classes: []rules.Class{{Effect: rules.Safe, Aim: time.Second, Deadline: 16 * time.Second, Worth: 1}}}
 	if set != nil {
--- a/internal/outbound/call.go
+++ b/internal/outbound/call.go
@@ -91,7 +91,7 @@
 		}
 		r.Outcome = rules.OK
 	case 429:
-		r.Outcome = rules.Full
+		r.Outcome = rules.Refused
 	case 503:
 		switch {
 		case resp.Header.Get("Slots-Taken") == "1":
@@ -99,7 +99,7 @@
 		case fresh && resp.Close:
 			r.Outcome, r.NoPlace = rules.ConnectError, true
 		default:
-			r.Outcome = rules.Full
+			r.Outcome = rules.Refused
 		}
 	case 504:
 		r.Outcome = rules.NotSent
@@ -122,7 +122,7 @@
 	case "fault":
 		return exchange.ItemResult{Outcome: rules.Errored}, true
 	case "deferred":
-		return exchange.ItemResult{Outcome: rules.Full}, true
+		return exchange.ItemResult{Outcome: rules.Refused}, true
 	case "expired":
 		return exchange.ItemResult{Outcome: rules.NotSent, Over: true}, true
 	case "no_more":
@@ -185,5 +185,5 @@
 			return rules.Report{}
 		}
 	}
-	return rules.Report{Left: fields["x0"], Limit: fields["x1"]}
+	return rules.Report{Remaining: fields["x0"], Limit: fields["x1"]}
 }
--- a/internal/outbound/outbound_test.go
+++ b/internal/outbound/outbound_test.go
@@ -86,14 +86,14 @@
 	}{
 		"delivered":       {&http1.Response{Status: 200, Body: []byte("whatever")}, exchange.ItemResult{Outcome: rules.OK}},
 		"error":           {&http1.Response{Status: 500}, exchange.ItemResult{Outcome: rules.Errored}},
-		"wait":            {&http1.Response{Status: 429, Header: field("Wait-Ms", "250")}, exchange.ItemResult{Outcome: rules.Full, Wait: 250 * time.Millisecond}},
-		"no wait told":    {&http1.Response{Status: 429}, exchange.ItemResult{Outcome: rules.Full}},
-		"turned away":     {&http1.Response{Status: 503}, exchange.ItemResult{Outcome: rules.Full}},
+		"wait":            {&http1.Response{Status: 429, Header: field("Wait-Ms", "250")}, exchange.ItemResult{Outcome: rules.Refused, Wait: 250 * time.Millisecond}},
+		"no wait told":    {&http1.Response{Status: 429}, exchange.ItemResult{Outcome: rules.Refused}},
+		"turned away":     {&http1.Response{Status: 503}, exchange.ItemResult{Outcome: rules.Refused}},
 		"slots taken":     {&http1.Response{Status: 503, Header: field("slots-taken", "1")}, exchange.ItemResult{Outcome: rules.NotSent, NoSlot: true}},
 		"attempts used":   {&http1.Response{Status: 504}, exchange.ItemResult{Outcome: rules.NotSent}},
 		"message over":    {&http1.Response{Status: 410}, exchange.ItemResult{Outcome: rules.NotSent, Over: true}},
 		"something else":  {&http1.Response{Status: 404}, exchange.ItemResult{Outcome: rules.Errored}},
-		"report":          {&http1.Response{Status: 200, Header: field("Srv-Load", `{"x0":0.4,"x1":25}`)}, exchange.ItemResult{Outcome: rules.OK, Report: rules.Report{Left: 0.4, Limit: 25}}},
+		"report":          {&http1.Response{Status: 200, Header: field("Srv-Load", `{"x0":0.4,"x1":25}`)}, exchange.ItemResult{Outcome: rules.OK, Report: rules.Report{Remaining: 0.4, Limit: 25}}},
 		"negative report": {&http1.Response{Status: 200, Header: field("Srv-Load", `{"x0":0.4,"x1":-25}`)}, exchange.ItemResult{Outcome: rules.OK}},
 		"half a report":   {&http1.Response{Status: 200, Header: field("Srv-Load", `{"x1":25,"x0":"a"}`)}, exchange.ItemResult{Outcome: rules.OK}},
 		"odd report":      {&http1.Response{Status: 200, Header: field("Srv-Load", `[`)}, exchange.ItemResult{Outcome: rules.OK}},
@@ -122,9 +122,9 @@
 		"first answer, closes":         {[]string{refusal("503", "Connection: close\r\n")}, []string{"a"}, rules.ConnectError, false},
 		"the same on one kept unused":  {[]string{refusal("503", "Connection: close\r\n")}, []string{"a"}, rules.ConnectError, true},
 		"the same to several":          {[]string{refusal("503", "Connection: close\r\n")}, []string{"a", "b"}, rules.ConnectError, false},
-		"first answer, stays open":     {[]string{refusal("503", "")}, []string{"a"}, rules.Full, false},
-		"second answer, closes":        {[]string{ok, refusal("503", "Connection: close\r\n")}, []string{"a"}, rules.Full, false},
-		"a told wait, closes":          {[]string{refusal("429", "Wait-Ms: 5\r\nConnection: close\r\n")}, []string{"a"}, rules.Full, false},
+		"first answer, stays open":     {[]string{refusal("503", "")}, []string{"a"}, rules.Refused, false},
+		"second answer, closes":        {[]string{ok, refusal("503", "Connection: close\r\n")}, []string{"a"}, rules.Refused, false},
+		"a told wait, closes":          {[]string{refusal("429", "Wait-Ms: 5\r\nConnection: close\r\n")}, []string{"a"}, rules.Refused, false},
 		"slots taken, closes":          {[]string{refusal("503", "Slots-Taken: 1\r\nConnection: close\r\n")}, []string{"a"}, rules.NotSent, false},
 		"spoilt behind its first line": {[]string{"HTTP/1.1 503 No\r\nConnection: close\r\n?\r\n\r\n"}, []string{"a"}, rules.Reset, false},
 	} {
@@ -218,13 +218,13 @@
 		want   []rules.Outcome
 	}{
 		"each its own": {200, "a accepted\r\nb fault\r\nc deferred\nd expired\r\ne no_more\r\nf accepted\r\n",
-			[]rules.Outcome{rules.OK, rules.Errored, rules.Full, rules.NotSent, rules.NotSent, rules.OK}},
+			[]rules.Outcome{rules.OK, rules.Errored, rules.Refused, rules.NotSent, rules.NotSent, rules.OK}},
 		"unreadable":    {200, "a perhaps\r\nhello", all(rules.Reset)},
 		"one missing":   {200, "a accepted\nb accepted\nc accepted\nd accepted\ne accepted\n", all(rules.Reset)},
 		"one too many":  {200, "a accepted\nb accepted\nc accepted\nd accepted\ne accepted\nf accepted\ng accepted\n", all(rules.Reset)},
 		"one twice":     {200, "a accepted\nb accepted\nc accepted\nd accepted\ne accepted\nf accepted\nf fault\n", all(rules.Reset)},
 		"one cut short": {200, "a accepted\nb accepted\nc accepted\nd accepted\ne accepted\nf acce", all(rules.Reset)},
-		"all full":      {429, "", all(rules.Full)},
+		"all full":      {429, "", all(rules.Refused)},
 		"all failed":    {500, "", all(rules.Errored)},
 		"too many":      {413, "", all(rules.NotSent)},
 		"bad form":      {400, "", all(rules.NotSent)},
@@ -389,7 +389,7 @@
 	}()
 	c := &conn{nc: answerWins{near}, br: bufio.NewReader(near)}
 	s.do(c, j)
-	want := exchange.ItemResult{Outcome: rules.Full, Wait: 700 * time.Millisecond}
+	want := exchange.ItemResult{Outcome: rules.Refused, Wait: 700 * time.Millisecond}
 	if d := testkit.Next(t, s.done, "result"); d.Items[0] != want {
 		t.Errorf("got %+v, want %+v", d.Items[0], want)
 	}
@@ -412,7 +412,7 @@
 	})
 	s := newSide(t, nil)
 	for range 2 {
-		if got, _ := s.outcome(srv.Addr()); got.Outcome != rules.Full {
+		if got, _ := s.outcome(srv.Addr()); got.Outcome != rules.Refused {
 			t.Errorf("got %+v", got)
 		}
 		testkit.Eventually(t, "idle", func() bool { return s.idleAt(srv.Addr()) == 1 })
@@ -435,7 +435,7 @@
 	if got, _ := s.outcome(srv.Addr()); got.Outcome != rules.OK {
 		t.Errorf("first call: %+v", got)
 	}
-	if got, _ := s.outcome(srv.Addr()); got.Outcome != rules.Full {
+	if got, _ := s.outcome(srv.Addr()); got.Outcome != rules.Refused {
 		t.Errorf("second call: %+v, want its own answer", got)
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -69,8 +69,8 @@
 	"idempotent": rules.Safe, "deduplicated": rules.Keyed, "at_most_once": rules.AtMostOnce,
 }
 
-var scopes = map[string]rules.Scope{
-	"": rules.ScopeDestination, "all": rules.ScopeDestination, "zone": rules.ScopeZone, "cell": rules.ScopeEndpoint,
+var scopes = map[string]rules.DedupScope{
+	"": rules.DedupDestination, "all": rules.DedupDestination, "zone": rules.DedupZone, "cell": rules.DedupEndpoint,
 }
 
 // Names are the words that the wire uses where the module counts: a position in a list is the module's number.
@@ -107,15 +107,15 @@
 		Seed: seed, Senders: e.Balancers, Zone: e.Az, Tick: micros(e.Tick),
 		Slots: e.Extra.Slots, MaxHeld: e.Allowed.MaxOpen, MaxAttempts: e.Allowed.MaxAttempts,
 		ConnectTimeout: micros(e.Allowed.ConnectTimeout), KeepAlive: micros(e.Allowed.KeepAlive),
-		MaxRetryAfter: micros(e.Allowed.MaxRetryAfter), MayAdvise: e.Allowed.RetryAfter,
-		MayCancel: e.Allowed.MayCancel, MayTell: e.Allowed.Peers,
+		MaxRetryAfter: micros(e.Allowed.MaxRetryAfter), MaySendRetryAfter: e.Allowed.RetryAfter,
+		MayCancel: e.Allowed.MayCancel, MayShareHints: e.Allowed.Peers,
 		AnswerGrace: micros(e.Safety.AnswerGrace), DrainGrace: micros(e.Safety.DrainGrace),
 		ColdShare: e.Safety.ColdShare, WarmUp: micros(e.Safety.WarmUp), FallWindow: micros(e.Safety.Fall),
 		OverloadFactor: e.Safety.OverloadFactor, OrderPause: micros(e.Safety.OrderPause),
-		AskRegistry: e.RegistryMode == "ask", AskEvery: micros(e.Safety.AskEvery),
+		WatchesRegistry: e.RegistryMode == "ask", WatchInterval: micros(e.Safety.AskEvery),
 		RatesListed: e.Weights == "nominal" || e.Weights == "rough", RatesExact: e.Weights == "nominal",
 		LateHalving:    e.Extra.Late == "halving",
-		OverShareWorth: e.OverShareWorth, ZoneTolls: e.Extra.Toll,
+		OverShareWorth: e.OverShareWorth, ZoneCosts: e.Extra.Toll,
 	}
 	for i := range max(len(e.Flavors), len(e.Extra.Batch), len(e.Extra.Routes)) {
 		var k rules.Kind
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Seed != 42 || s.Slots != 10 || s.MaxHeld != 100 || s.Tick != 5*time.Millisecond || !s.MayAdvise || !s.LateHalving ||
+	if s.Seed != 42 || s.Slots != 10 || s.MaxHeld != 100 || s.Tick != 5*time.Millisecond || !s.MaySendRetryAfter || !s.LateHalving ||
 		s.KeepAlive != 10*time.Second || len(s.Kinds) != 1 || s.Kinds[0].Batch != 1 {
 		t.Errorf("settings: %+v", s)
 	}
@@ -105,7 +105,7 @@
 // A route's toll comes by zone.
 func TestTolls(t *testing.T) {
 	s, _, err := Decode([]byte(strings.Replace(example(t), `"slots": 10`, `"slots": 10, "toll": [0.06, 0]`, 1)), 1)
-	if err != nil || len(s.ZoneTolls) != 2 || s.ZoneTolls[0] != 0.06 || s.ZoneTolls[1] != 0 {
-		t.Errorf("tolls %v, %v", s.ZoneTolls, err)
+	if err != nil || len(s.ZoneCosts) != 2 || s.ZoneCosts[0] != 0.06 || s.ZoneCosts[1] != 0 {
+		t.Errorf("tolls %v, %v", s.ZoneCosts, err)
 	}
 }
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -93,7 +93,7 @@
 var outcomes = map[string]rules.Outcome{
 	"Ok":           rules.OK,
 	"Failed":       rules.Errored,
-	"QueueFull":    rules.Full,
+	"QueueFull":    rules.Refused,
 	"TimedOut":     rules.TimedOut,
 	"ConnectError": rules.ConnectError,
 	"ResetByPeer":  rules.Reset,
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -190,10 +190,10 @@
 	case "headers":
 		return rules.StreamStarted{ID: rules.MessageID(*f.Txn), Attempt: *f.Round}, nil
 	case "wakeup":
-		return rules.Woke{}, nil
+		return rules.WakeUp{}, nil
 	case "inbox":
 		if note, ok := readNote(*f.Bytes); ok {
-			return rules.Told{Note: note}, nil
+			return rules.HintReceived{Hint: note}, nil
 		}
 		return nil, nil // not one of ours, or spoilt
 	}
@@ -204,14 +204,14 @@
 	if verb == "check_result" {
 		return nil, nil // the module sends no probes
 	}
-	ended := rules.Ended{ID: rules.MessageID(*f.Txn), Attempt: *f.Round, Endpoint: rules.EndpointID(*f.Endpoint),
-		Outcome: outcome, Elapsed: micros(*f.Taken), Over: f.Closed,
-		Report: rules.Report{Left: f.Telemetry["x0"], Limit: f.Telemetry["x1"]}}
+	ended := rules.AttemptEnded{ID: rules.MessageID(*f.Txn), Attempt: *f.Round, Endpoint: rules.EndpointID(*f.Endpoint),
+		Outcome: outcome, Elapsed: micros(*f.Taken), Finished: f.Closed,
+		Report: rules.Report{Remaining: f.Telemetry["x0"], Limit: f.Telemetry["x1"]}}
 	switch outcome {
-	case rules.Full:
-		ended.Wait = time.Duration(f.Note) * time.Millisecond
+	case rules.Refused:
+		ended.RetryAfter = time.Duration(f.Note) * time.Millisecond
 	case rules.NotSent:
-		ended.NoSlot = f.Note == 1
+		ended.NoFreeSlot = f.Note == 1
 	}
 	return ended, nil
 }
@@ -219,7 +219,7 @@
 func (d *Decoder) listed(f *eventFields) (rules.Event, error) {
 	switch *f.Kind {
 	case "error":
-		return rules.ListFailed{}, nil
+		return rules.DiscoveryFailed{}, nil
 	case "diff", "snapshot", "disk":
 	default:
 		return nil, d.errorf("directory_update: unknown kind %q", *f.Kind)
@@ -231,7 +231,7 @@
 	if !known {
 		return nil, d.errorf("directory_update: unknown list number %d", *f.Ref)
 	}
-	return rules.Listed{Whole: *f.Kind != "diff", Entries: entries}, nil
+	return rules.ListUpdate{Whole: *f.Kind != "diff", Entries: entries}, nil
 }
 
 func (d *Decoder) catalog(text []byte) error {
@@ -292,7 +292,7 @@
 func (e *Encoder) Write(instance int, actions []rules.Action) error {
 	for _, a := range actions {
 		switch a.(type) {
-		case rules.Forgot, rules.Recall:
+		case rules.EndpointForgotten, rules.Recall:
 			continue
 		}
 		out, err := encode(instance, a)
@@ -337,8 +337,8 @@
 		f.Verb, f.Endpoint = "close_idle", ptr(a.Endpoint)
 	case rules.WakeAfter:
 		f.Verb, f.After, f.KeyBack = "wake_at", ptr(a.After.Microseconds()), ptr(0)
-	case rules.Tell:
-		f.Verb, f.To, f.Bytes = "memo_to", "*", writeNote(a.Note)
+	case rules.PublishHint:
+		f.Verb, f.To, f.Bytes = "memo_to", "*", writeNote(a.Hint)
 	case rules.Watch:
 		f.Verb, f.On = "stream_changes", true
 	default:
@@ -348,16 +348,16 @@
 }
 
 // A note travels as endpoint, class and, if there is one, wait in milliseconds, all in base 36: every byte is paid for.
-func writeNote(n rules.Note) string {
+func writeNote(n rules.Hint) string {
 	text := strconv.FormatUint(uint64(n.Endpoint), 36) + " " + strconv.FormatUint(uint64(n.Class), 36)
-	if n.Wait > 0 {
-		text += " " + strconv.FormatInt(n.Wait.Milliseconds(), 36)
+	if n.RetryAfter > 0 {
+		text += " " + strconv.FormatInt(n.RetryAfter.Milliseconds(), 36)
 	}
 	return text
 }
 
 // readNote reads a note; ok is false for anything else, which is no fault: peers may be of another build.
-func readNote(text string) (n rules.Note, ok bool) {
+func readNote(text string) (n rules.Hint, ok bool) {
 	parts := strings.Split(text, " ")
 	if len(parts) != 2 && len(parts) != 3 {
 		return n, false
@@ -370,8 +370,8 @@
 		}
 		values[i] = v
 	}
-	return rules.Note{Endpoint: rules.EndpointID(values[0]), Class: int(values[1]),
-		Wait: time.Duration(values[2]) * time.Millisecond}, true
+	return rules.Hint{Endpoint: rules.EndpointID(values[0]), Class: int(values[1]),
+		RetryAfter: time.Duration(values[2]) * time.Millisecond}, true
 }
 
 func ptr[T any](v T) *T { return &v }
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -29,21 +29,21 @@
 		{`{"verb":"vanished","sender_id":3,"txn":"a"}`, rules.Withdrawn{ID: "a"}},
 		{`{"verb":"headers","sender_id":3,"txn":"a","endpoint":7,"round_no":2,"time_taken_us":5}`,
 			rules.StreamStarted{ID: "a", Attempt: 2}},
-		{`{"verb":"wakeup","sender_id":3,"key_back":0}`, rules.Woke{}},
-		{`{"verb":"directory_update","sender_id":3,"kind":"error"}`, rules.ListFailed{}},
+		{`{"verb":"wakeup","sender_id":3,"key_back":0}`, rules.WakeUp{}},
+		{`{"verb":"directory_update","sender_id":3,"kind":"error"}`, rules.DiscoveryFailed{}},
 		{`{"verb":"answer","sender_id":3,"txn":"a","round_no":1,"endpoint":7,"ending":"QueueFull","time_taken_us":18500,"note":250}`,
-			rules.Ended{ID: "a", Attempt: 1, Endpoint: 7, Outcome: rules.Full, Elapsed: 18500 * time.Microsecond,
-				Wait: 250 * time.Millisecond}},
+			rules.AttemptEnded{ID: "a", Attempt: 1, Endpoint: 7, Outcome: rules.Refused, Elapsed: 18500 * time.Microsecond,
+				RetryAfter: 250 * time.Millisecond}},
 		{`{"verb":"answer","sender_id":3,"txn":"a","round_no":0,"endpoint":7,"ending":"Ignored","time_taken_us":0,"note":1}`,
-			rules.Ended{ID: "a", Endpoint: 7, Outcome: rules.NotSent, NoSlot: true}},
+			rules.AttemptEnded{ID: "a", Endpoint: 7, Outcome: rules.NotSent, NoFreeSlot: true}},
 		{`{"verb":"answer","sender_id":3,"txn":"a","round_no":0,"endpoint":7,"ending":"Ok","time_taken_us":1,"closed":true,"telemetry":{"x0":0.5,"x1":3}}`,
-			rules.Ended{ID: "a", Endpoint: 7, Outcome: rules.OK, Elapsed: time.Microsecond, Over: true,
-				Report: rules.Report{Left: 0.5, Limit: 3}}},
+			rules.AttemptEnded{ID: "a", Endpoint: 7, Outcome: rules.OK, Elapsed: time.Microsecond, Finished: true,
+				Report: rules.Report{Remaining: 0.5, Limit: 3}}},
 		{`{"verb":"check_result","sender_id":3,"endpoint":7,"ending":"ConnectError","time_taken_us":1400}`,
 			nil},
 		{`{"verb":"inbox","sender_id":3,"sender":2,"bytes":"hi"}`, nil},
-		{`{"verb":"inbox","sender_id":3,"sender":2,"bytes":"1z 1"}`, rules.Told{Note: rules.Note{Endpoint: 71, Class: 1}}},
-		{`{"verb":"inbox","sender_id":3,"sender":2,"bytes":"1z 0 7ps"}`, rules.Told{Note: rules.Note{Endpoint: 71, Wait: 10 * time.Second}}},
+		{`{"verb":"inbox","sender_id":3,"sender":2,"bytes":"1z 1"}`, rules.HintReceived{Hint: rules.Hint{Endpoint: 71, Class: 1}}},
+		{`{"verb":"inbox","sender_id":3,"sender":2,"bytes":"1z 0 7ps"}`, rules.HintReceived{Hint: rules.Hint{Endpoint: 71, RetryAfter: 10 * time.Second}}},
 		{`{"verb":"inbox","sender_id":3,"sender":2,"bytes":"1z 1 1 1"}`, nil},
 		{`{"verb":"inbox","sender_id":3,"sender":2,"bytes":"zzzzzzzzz 1"}`, nil},
 		{`{"verb":"inbox","sender_id":3,"sender":2,"bytes":""}`, nil},
@@ -79,8 +79,8 @@
 		t.Fatal(err)
 	}
 	want := []rules.Event{
-		rules.Listed{Whole: true, Entries: []rules.Entry{{Endpoint: 1, Destination: 9, Kind: 2, Zone: 1, ListedRate: 1.5}}},
-		rules.Listed{Entries: []rules.Entry{{Endpoint: 2, Destination: 9, Draining: true}, {Endpoint: 3, Destination: 9, Gone: true}}},
+		rules.ListUpdate{Whole: true, Entries: []rules.Entry{{Endpoint: 1, Destination: 9, Kind: 2, Zone: 1, ListedRate: 1.5}}},
+		rules.ListUpdate{Entries: []rules.Entry{{Endpoint: 2, Destination: 9, Draining: true}, {Endpoint: 3, Destination: 9, Gone: true}}},
 	}
 	if got := []rules.Event{b.Items[0].Event, b.Items[1].Event}; !reflect.DeepEqual(got, want) {
 		t.Errorf("got %#v", got)
@@ -102,12 +102,12 @@
 	}
 	s := time.Second
 	want := &rules.Settings{Seed: 5138197539985895, Senders: 2, Zone: 1, Tick: 5 * time.Millisecond, Slots: 13, MaxHeld: 186,
-		MaxAttempts: 12, ConnectTimeout: s, KeepAlive: 10 * s, MaxRetryAfter: 3 * s, MayAdvise: true, MayCancel: true, MayTell: true,
+		MaxAttempts: 12, ConnectTimeout: s, KeepAlive: 10 * s, MaxRetryAfter: 3 * s, MaySendRetryAfter: true, MayCancel: true, MayShareHints: true,
 		AnswerGrace: 20 * time.Millisecond, DrainGrace: s / 2, ColdShare: 0.17,
 		WarmUp: 9800 * time.Millisecond, FallWindow: 2 * s, OverloadFactor: 2, OrderPause: 700 * time.Millisecond,
-		AskRegistry: true, AskEvery: 10 * s, RatesListed: true, LateHalving: true, OverShareWorth: 0.1, ZoneTolls: []float64{0.5},
+		WatchesRegistry: true, WatchInterval: 10 * s, RatesListed: true, LateHalving: true, OverShareWorth: 0.1, ZoneCosts: []float64{0.5},
 		Kinds: []rules.Kind{{Batch: 5}, {Batch: 1, RoutesApart: true}},
-		Classes: []rules.Class{{Effect: rules.Keyed, Scope: rules.ScopeZone, Window: 5 * s, Aim: 2500 * time.Millisecond,
+		Classes: []rules.Class{{Effect: rules.Keyed, Scope: rules.DedupZone, Window: 5 * s, Aim: 2500 * time.Millisecond,
 			Deadline: 16 * s, Worth: 2, LateWorth: 0.4, KeepOrder: true}},
 		Tenants: []rules.Tenant{{Quota: 4.5}}}
 	if got := b.Items[0].Start; !reflect.DeepEqual(got, want) {
@@ -121,8 +121,8 @@
 	if err := e.Write(4, []rules.Action{
 		rules.Send{ID: "a", Endpoint: 7, Timeout: 80 * time.Millisecond}, rules.Send{ID: "b", Endpoint: 0},
 		rules.Refuse{ID: "a", RetryAfter: 250 * time.Millisecond}, rules.Fail{ID: "a"}, rules.Cancel{ID: "a"},
-		rules.CloseIdle{Endpoint: 7}, rules.WakeAfter{After: time.Second}, rules.Watch{}, rules.Recall{ID: "a"}, rules.Forgot{Endpoint: 7},
-		rules.Tell{Note: rules.Note{Endpoint: 71, Class: 1}}, rules.Tell{Note: rules.Note{Endpoint: 71, Wait: 10 * time.Second}},
+		rules.CloseIdle{Endpoint: 7}, rules.WakeAfter{After: time.Second}, rules.Watch{}, rules.Recall{ID: "a"}, rules.EndpointForgotten{Endpoint: 7},
+		rules.PublishHint{Hint: rules.Hint{Endpoint: 71, Class: 1}}, rules.PublishHint{Hint: rules.Hint{Endpoint: 71, RetryAfter: 10 * time.Second}},
 	}); err != nil {
 		t.Fatal(err)
 	}
--- a/lab/baseline/adaptive.go
+++ b/lab/baseline/adaptive.go
@@ -62,7 +62,7 @@
 
 func (s *adaptive) sent(f *frame, ep *endpoint) { s.throttle(f, ep.route).sent++ }
 
-func (s *adaptive) ended(f *frame, m *msg, ep *endpoint, e rules.Ended) (bool, time.Duration) {
+func (s *adaptive) ended(f *frame, m *msg, ep *endpoint, e rules.AttemptEnded) (bool, time.Duration) {
 	if m.leads && e.Outcome == rules.OK {
 		s.throttle(f, ep.route).taken++
 	}
--- a/lab/baseline/backoff.go
+++ b/lab/baseline/backoff.go
@@ -68,7 +68,7 @@
 	c.done = append(c.done, done)
 }
 
-func (s *backingOff) ended(f *frame, m *msg, ep *endpoint, e rules.Ended) (bool, time.Duration) {
+func (s *backingOff) ended(f *frame, m *msg, ep *endpoint, e rules.AttemptEnded) (bool, time.Duration) {
 	c := s.circuit(ep.route)
 	if m.leads && len(c.done) > 0 {
 		done := c.done[0]
--- a/lab/baseline/baseline.go
+++ b/lab/baseline/baseline.go
@@ -76,7 +76,7 @@
 	may(f *frame, m *msg, ep *endpoint) bool
 	sent(f *frame, ep *endpoint)
 	// ended takes an outcome and returns after how long the message may be tried again, if it may at all.
-	ended(f *frame, m *msg, ep *endpoint, e rules.Ended) (again bool, after time.Duration)
+	ended(f *frame, m *msg, ep *endpoint, e rules.AttemptEnded) (again bool, after time.Duration)
 	timeout(m *msg) time.Duration
 }
 
@@ -91,7 +91,7 @@
 	for _, e := range events {
 		f.handle(e)
 	}
-	if f.set.AskRegistry && f.wakeAt < 0 {
+	if f.set.WatchesRegistry && f.wakeAt < 0 {
 		f.out = append(f.out, rules.Watch{})
 	}
 	if own, ok := f.how.(interface{ giveUp(*frame) }); ok {
@@ -107,7 +107,7 @@
 	switch e := e.(type) {
 	case rules.Arrived:
 		m := &msg{id: e.ID, dest: f.dest(e.Destination), class: &f.set.Classes[e.Class], deadline: f.now + e.TimeLeft,
-			tries: e.Before.Attempts, mayRun: e.Before.MayRun, ran: f.now - e.Before.Ago}
+			tries: e.Prior.Count, mayRun: e.Prior.MayHaveRun, ran: f.now - e.Prior.Age}
 		f.seq++
 		m.seq = f.seq
 		if m.class.KeepOrder && e.OrderKey != "" {
@@ -119,9 +119,9 @@
 		}
 		f.msgs[m.id] = m
 		f.queue = append(f.queue, m)
-	case rules.Ended:
+	case rules.AttemptEnded:
 		f.ended(e)
-	case rules.Listed:
+	case rules.ListUpdate:
 		f.listed(e)
 	}
 }
@@ -135,7 +135,7 @@
 	return d
 }
 
-func (f *frame) listed(e rules.Listed) {
+func (f *frame) listed(e rules.ListUpdate) {
 	if e.Whole {
 		for _, ep := range f.eps {
 			ep.listed = false
@@ -159,7 +159,7 @@
 	}
 }
 
-func (f *frame) ended(e rules.Ended) {
+func (f *frame) ended(e rules.AttemptEnded) {
 	ep, m := f.eps[e.Endpoint], f.msgs[e.ID]
 	if ep == nil || m == nil {
 		return
@@ -169,11 +169,11 @@
 		f.busy--
 		ep.calls--
 	}
-	if e.Wait > 0 {
-		ep.route.until = max(ep.route.until, f.now+e.Wait)
+	if e.RetryAfter > 0 {
+		ep.route.until = max(ep.route.until, f.now+e.RetryAfter)
 	}
 	switch e.Outcome {
-	case rules.Full, rules.ConnectError, rules.NotSent:
+	case rules.Refused, rules.ConnectError, rules.NotSent:
 	default:
 		if !m.mayRun {
 			m.mayRun, m.ran = true, f.now-e.Elapsed
@@ -184,7 +184,7 @@
 	}
 	again, after := f.how.ended(f, m, ep, e)
 	switch {
-	case e.Over || m.over:
+	case e.Finished || m.over:
 		m.over = true
 		f.drop(m)
 	case !again || !f.mayRepeat(m) || m.tries >= f.set.MaxAttempts:
@@ -206,7 +206,7 @@
 	switch {
 	case !m.mayRun || m.class.Effect == rules.Safe:
 		return true
-	case m.class.Effect == rules.Keyed && m.class.Scope == rules.ScopeDestination:
+	case m.class.Effect == rules.Keyed && m.class.Scope == rules.DedupDestination:
 		return f.now+f.set.Tick < m.ran+m.class.Window
 	}
 	return false
@@ -216,7 +216,7 @@
 func (f *frame) end(m *msg) {
 	m.over = true
 	ran := m.mayRun || m.out > 0
-	if !ran || m.class.Effect == rules.Safe || m.class.Effect == rules.Keyed && m.class.Scope == rules.ScopeDestination {
+	if !ran || m.class.Effect == rules.Safe || m.class.Effect == rules.Keyed && m.class.Scope == rules.DedupDestination {
 		f.out = append(f.out, rules.Refuse{ID: m.id})
 	} else {
 		f.out = append(f.out, rules.Fail{ID: m.id})
--- a/lab/baseline/once.go
+++ b/lab/baseline/once.go
@@ -16,6 +16,6 @@
 func (once) may(*frame, *msg, *endpoint) bool { return true }
 func (once) sent(*frame, *endpoint)           {}
 func (once) timeout(*msg) time.Duration       { return 0 }
-func (once) ended(*frame, *msg, *endpoint, rules.Ended) (bool, time.Duration) {
+func (once) ended(*frame, *msg, *endpoint, rules.AttemptEnded) (bool, time.Duration) {
 	return false, 0
 }
--- a/lab/baseline/oracle.go
+++ b/lab/baseline/oracle.go
@@ -71,7 +71,7 @@
 	o.out[x]++
 }
 
-func (o *oracle) ended(_ *frame, m *msg, ep *endpoint, _ rules.Ended) (bool, time.Duration) {
+func (o *oracle) ended(_ *frame, m *msg, ep *endpoint, _ rules.AttemptEnded) (bool, time.Duration) {
 	if m.leads {
 		x := o.Endpoints[ep.id]
 		o.out[x] = max(0, o.out[x]-1)
--- a/lab/judge/judge.go
+++ b/lab/judge/judge.go
@@ -205,7 +205,7 @@
 
 // mayHaveRun tells whether an attempt is not known never to have run.
 func (a *attempt) mayHaveRun() bool {
-	return !a.done || a.outcome != rules.Full && a.outcome != rules.ConnectError && a.outcome != rules.NotSent
+	return !a.done || a.outcome != rules.Refused && a.outcome != rules.ConnectError && a.outcome != rules.NotSent
 }
 
 func (d *duty) firstThatMayHaveRun() *attempt {
@@ -301,7 +301,7 @@
 			j.settle(now, r, d)
 		}
 	}
-	if o == rules.Full && w > 0 {
+	if o == rules.Refused && w > 0 {
 		if old := r.waits[unit]; now+w > old.until {
 			r.waits[unit] = wait{told: now, until: now + w}
 		}
@@ -358,7 +358,7 @@
 }
 
 // Listed tells what a sender has heard of the list.
-func (j *Judge) Listed(now time.Duration, sender int, e rules.Listed) {
+func (j *Judge) Listed(now time.Duration, sender int, e rules.ListUpdate) {
 	r := j.senders[sender]
 	named := map[rules.EndpointID]bool{}
 	for _, entry := range e.Entries {
--- a/lab/live/connections.go
+++ b/lab/live/connections.go
@@ -248,7 +248,7 @@
 	}
 	var fields http1.Header
 	if o.Report.Limit > 0 {
-		text, _ := json.Marshal(map[string]float64{"x0": o.Report.Left, "x1": o.Report.Limit}) // plain values always encode
+		text, _ := json.Marshal(map[string]float64{"x0": o.Report.Remaining, "x1": o.Report.Limit}) // plain values always encode
 		fields = append(fields, http1.Field{Name: "Srv-Load", Value: string(text)})
 	}
 	switch o.What {
@@ -262,7 +262,7 @@
 		return http1.AppendResponse(nil, 200, fields, body)
 	case rules.Errored:
 		return status(500, fields)
-	case rules.Full:
+	case rules.Refused:
 		if o.Wait > 0 {
 			return status(429, append(fields, http1.Field{Name: "Wait-Ms", Value: strconv.FormatInt(o.Wait.Milliseconds()+1, 10)}))
 		}
@@ -280,7 +280,7 @@
 		return "served"
 	case rules.Errored:
 		return "failed"
-	case rules.Full:
+	case rules.Refused:
 		return "turned away"
 	}
 	return "reset"
--- a/lab/live/receivers.go
+++ b/lab/live/receivers.go
@@ -66,7 +66,7 @@
 	Called(sender int, ep *receiver.Endpoint, c *model.Call)
 	Answered(sender int, ep *receiver.Endpoint, c *model.Call, o model.Outcome)
 	GivenUp(sender int, ep *receiver.Endpoint, c *model.Call) // c is nil where nobody read it
-	Listed(e rules.Listed)
+	Listed(e rules.ListUpdate)
 	Outage(u *receiver.Unit, begins bool)
 	Weighed(u *receiver.Unit, window []receiver.Arrival, allowed float64)
 	Fell(u *receiver.Unit, by map[int]float64)
@@ -119,7 +119,7 @@
 		seen: map[string]bool{}, conns: map[net.Conn]bool{}, log: log, doors: o.Senders, watch: o.Watcher}
 	v.counts.Outcomes = map[string]int{}
 	q := &v.loop.Q
-	v.reg = registry.New(1, false, s.Registry.Lag.Random(), q, random.Stream(seed, "registry", 0), func(_ int, e rules.Listed) { v.listed(e) })
+	v.reg = registry.New(1, false, s.Registry.Lag.Random(), q, random.Stream(seed, "registry", 0), func(_ int, e rules.ListUpdate) { v.listed(e) })
 	v.site = world.NewSite(s, seed, q, v.reg, (*observer)(v))
 	for id := rules.EndpointID(1); int(id) <= len(v.site.Endpoints); id++ {
 		if err := v.listen(v.site.Endpoints[id]); err != nil {
@@ -197,7 +197,7 @@
 func ZoneName(zone int) string { return "z" + strconv.Itoa(zone) }
 
 // listed brings discovery up to date.
-func (v *Receivers) listed(e rules.Listed) {
+func (v *Receivers) listed(e rules.ListUpdate) {
 	for _, x := range e.Entries {
 		h := v.hosts[x.Endpoint]
 		h.Share = x.ListedRate
--- a/lab/receiver/limit.go
+++ b/lab/receiver/limit.go
@@ -64,7 +64,7 @@
 func (l *rateLimit) perSecond() float64                  { return l.first * l.part }
 func (l *rateLimit) report(now time.Duration) rules.Report {
 	left := l.bucket.TokensAt(epoch.Add(now)) / float64(l.bucket.Burst())
-	return rules.Report{Left: min(max(left, 0), 1), Limit: l.perSecond()}
+	return rules.Report{Remaining: min(max(left, 0), 1), Limit: l.perSecond()}
 }
 
 func (l *rateLimit) fresh() limit {
@@ -103,7 +103,7 @@
 	if now/l.span != l.index {
 		used = 0
 	}
-	return rules.Report{Left: min(max(1-used/max(l.first*l.part, 1), 0), 1), Limit: l.perSecond()}
+	return rules.Report{Remaining: min(max(1-used/max(l.first*l.part, 1), 0), 1), Limit: l.perSecond()}
 }
 
 func (l *windowLimit) fresh() limit {
@@ -129,7 +129,7 @@
 func (l *concurrentLimit) scale(_ time.Duration, part float64) { l.part = part }
 func (l *concurrentLimit) perSecond() float64                  { return 0 }
 func (l *concurrentLimit) report(time.Duration) rules.Report {
-	return rules.Report{Left: min(max(1-float64(l.used)/max(l.first*l.part, 1), 0), 1)}
+	return rules.Report{Remaining: min(max(1-float64(l.used)/max(l.first*l.part, 1), 0), 1)}
 }
 
 func (l *concurrentLimit) fresh() limit { return &concurrentLimit{first: l.first, part: 1} }
--- a/lab/receiver/receiver.go
+++ b/lab/receiver/receiver.go
@@ -26,8 +26,8 @@
 	Drops     string // none, queued or all
 	Reports   bool
 	Tells     float64
-	Remembers []time.Duration // by class: how long a key is remembered, 0 for classes without
-	Scopes    []rules.Scope   // by class
+	Remembers []time.Duration    // by class: how long a key is remembered, 0 for classes without
+	Scopes    []rules.DedupScope // by class
 
 	ColdShare      float64
 	WarmUp         time.Duration
@@ -152,7 +152,7 @@
 		wait = 0
 	}
 	u.obs.Refused(u, c, byLimit)
-	c.Done(model.Outcome{What: rules.Full, Wait: wait, Report: ep.report(ep.q.Now())})
+	c.Done(model.Outcome{What: rules.Refused, Wait: wait, Report: ep.report(ep.q.Now())})
 }
 
 func (ep *Endpoint) report(now time.Duration) rules.Report {
@@ -225,7 +225,7 @@
 		return
 	}
 	holder := ep
-	if u.Spec.Scopes[m.Class] == rules.ScopeDestination {
+	if u.Spec.Scopes[m.Class] == rules.DedupDestination {
 		holder = u.Endpoints[0]
 	}
 	if holder.seen == nil {
@@ -248,9 +248,9 @@
 	u.obs.Ran(u, m, false)
 }
 
-func memory(m *model.Message, scope rules.Scope, zone int) string {
+func memory(m *model.Message, scope rules.DedupScope, zone int) string {
 	key := []byte{byte(m.First), byte(m.First >> 8), byte(m.First >> 16), byte(m.First >> 24)}
-	if scope == rules.ScopeZone {
+	if scope == rules.DedupZone {
 		key = append(key, byte(zone))
 	}
 	return string(key)
--- a/lab/registry/registry.go
+++ b/lab/registry/registry.go
@@ -20,7 +20,7 @@
 	line    *clock.Line
 	q       *clock.Queue
 	ask     bool
-	tell    func(sender int, e rules.Listed)
+	tell    func(sender int, e rules.ListUpdate)
 	told    []tale
 	version int
 	changes []rules.Entry // since the start; a version is a position behind it
@@ -38,7 +38,7 @@
 }
 
 // New returns a registry for so many senders; tell carries a telling to a sender's inbox.
-func New(senders int, ask bool, lag random.Times, q *clock.Queue, r *rand.Rand, tell func(int, rules.Listed)) *Registry {
+func New(senders int, ask bool, lag random.Times, q *clock.Queue, r *rand.Rand, tell func(int, rules.ListUpdate)) *Registry {
 	return &Registry{index: map[rules.EndpointID]int{}, lag: lag, r: r, q: q, line: q.Line(clock.Registry, 0), ask: ask,
 		tell: tell, told: make([]tale, senders)}
 }
@@ -86,7 +86,7 @@
 		if t.version < upTo && g.Silent == 0 {
 			entries := g.changes[t.version:upTo]
 			t.version = upTo
-			g.tell(s, rules.Listed{Entries: entries})
+			g.tell(s, rules.ListUpdate{Entries: entries})
 		}
 		g.schedule(s)
 	})
@@ -110,11 +110,11 @@
 }
 
 // Start returns the list as a sender that starts holds it: as it was last told, and nothing later.
-func (g *Registry) Start(s int) rules.Listed {
+func (g *Registry) Start(s int) rules.ListUpdate {
 	t := &g.told[s]
 	t.watches, t.pending = false, false
 	if t.version == 0 && len(g.changes) == 0 {
-		return rules.Listed{Whole: true, Entries: g.live()}
+		return rules.ListUpdate{Whole: true, Entries: g.live()}
 	}
 	// Replay what it had heard: the first list, then its changes.
 	known := map[rules.EndpointID]rules.Entry{}
@@ -147,7 +147,7 @@
 		}
 	}
 	g.schedule(s)
-	return rules.Listed{Whole: true, Entries: entries}
+	return rules.ListUpdate{Whole: true, Entries: entries}
 }
 
 // first returns the entries that have changed since, as they were at the start: those that were seeded then.
--- a/lab/rig/watch.go
+++ b/lab/rig/watch.go
@@ -130,7 +130,7 @@
 }
 
 // Listed is told of what discovery tells all senders.
-func (w *watcher) Listed(e rules.Listed) {
+func (w *watcher) Listed(e rules.ListUpdate) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, x := range e.Entries {
@@ -205,7 +205,7 @@
 		return "served"
 	case o.What == rules.Errored:
 		return "error"
-	case o.What == rules.Full:
+	case o.What == rules.Refused:
 		return "refused"
 	}
 	return "reset"
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -131,8 +131,10 @@
 }
 
 func (s hollowSink) List(l exchange.Listing) { s.post(func() { s.listed(l) }) }
-func (s hollowSink) ListFailed()             { s.post(func() { s.events = append(s.events, rules.ListFailed{}) }) }
-func (s hollowSink) Noticed([]string)        {}
+func (s hollowSink) ListFailed() {
+	s.post(func() { s.events = append(s.events, rules.DiscoveryFailed{}) })
+}
+func (s hollowSink) Noticed([]string) {}
 
 func (h *hollow) now() time.Duration { return hollowStart + time.Since(h.begun) }
 
@@ -143,7 +145,7 @@
 		h.firsts = time.Since(h.begun)
 	}
 	h.mu.Unlock()
-	out := rules.Listed{Whole: l.Whole, Entries: make([]rules.Entry, 0, len(l.Hosts))}
+	out := rules.ListUpdate{Whole: l.Whole, Entries: make([]rules.Entry, 0, len(l.Hosts))}
 	named := map[rules.EndpointID]bool{}
 	for _, e := range l.Hosts {
 		id := h.ids[e.Name]
@@ -211,7 +213,7 @@
 		h.answer(now)
 		if h.wakeAt >= 0 && now >= h.wakeAt {
 			h.wakeAt = -1
-			h.events = append(h.events, rules.Woke{})
+			h.events = append(h.events, rules.WakeUp{})
 		}
 		if len(h.events) > 0 && now >= lastStep+hollowTick {
 			h.step(now)
@@ -252,9 +254,9 @@
 		a := h.answers[0]
 		h.answers = h.answers[1:]
 		m := h.held[a.id]
-		e := rules.Ended{ID: a.id, Attempt: a.attempt, Endpoint: a.ep, Outcome: rules.ConnectError, Elapsed: hollowServes, Over: m == nil}
+		e := rules.AttemptEnded{ID: a.id, Attempt: a.attempt, Endpoint: a.ep, Outcome: rules.ConnectError, Elapsed: hollowServes, Finished: m == nil}
 		if a.ok {
-			e.Outcome, e.Over = rules.OK, true
+			e.Outcome, e.Finished = rules.OK, true
 		}
 		if m != nil {
 			m.out = false
@@ -296,7 +298,7 @@
 			h.end(a.ID, &h.counts.refused)
 		case rules.Fail:
 			h.end(a.ID, &h.counts.failed)
-		case rules.Forgot:
+		case rules.EndpointForgotten:
 			delete(h.ids, h.hosts[a.Endpoint].name)
 			delete(h.hosts, a.Endpoint)
 		case rules.WakeAfter:
--- a/lab/sender/calls.go
+++ b/lab/sender/calls.go
@@ -121,7 +121,7 @@
 }
 
 func (h *Host) notSent(f *flight, ep rules.EndpointID, noSlot bool) {
-	h.report(f, ep, rules.Ended{Outcome: rules.NotSent, NoSlot: noSlot})
+	h.report(f, ep, rules.AttemptEnded{Outcome: rules.NotSent, NoFreeSlot: noSlot})
 }
 
 // expire ends an attempt when its time-out or its message's time is up.
@@ -254,28 +254,28 @@
 		delete(h.live, c)
 	}
 	f.h.out = slices.DeleteFunc(f.h.out, func(x *flight) bool { return x == f })
-	h.report(f, c.pool.ep.ID, rules.Ended{Outcome: o.What, Elapsed: h.w.Queue.Now() - c.Sent, Wait: o.Wait, NoPlace: o.NoPlace, Recalled: o.Recalled, Report: o.Report})
+	h.report(f, c.pool.ep.ID, rules.AttemptEnded{Outcome: o.What, Elapsed: h.w.Queue.Now() - c.Sent, RetryAfter: o.Wait, ConnectionLimitReached: o.NoPlace, Recalled: o.Recalled, Report: o.Report})
 }
 
-func (h *Host) report(f *flight, ep rules.EndpointID, e rules.Ended) {
+func (h *Host) report(f *flight, ep rules.EndpointID, e rules.AttemptEnded) {
 	now, k := h.w.Queue.Now(), f.h
 	f.done = true
 	e.ID, e.Attempt, e.Endpoint = k.m.ID, f.num, ep
-	if e.Outcome.MayRun() || e.Outcome == rules.ConnectError && !e.NoPlace {
+	if e.Outcome.MayHaveRun() || e.Outcome == rules.ConnectError && !e.ConnectionLimitReached {
 		k.failed++
 	}
-	if e.Outcome.MayRun() {
+	if e.Outcome.MayHaveRun() {
 		if f.call != nil && (!k.mayRun || f.call.Sent < k.ran) {
 			k.mayRun, k.ran, k.ranAt = true, f.call.Sent, ep
 		}
 	}
-	h.w.Judge.Told(now, h.Number, k.m.ID, f.num, ep, e.Outcome, e.Wait)
+	h.w.Judge.Told(now, h.Number, k.m.ID, f.num, ep, e.Outcome, e.RetryAfter)
 	h.w.Books.Outcome(now, h.Number, e.Outcome)
-	h.trace(k.m.ID, "attempt %d at endpoint %d: %v after %v%s", f.num, ep, OutcomeName(e.Outcome), e.Elapsed.Round(time.Millisecond), waitText(e.Wait))
+	h.trace(k.m.ID, "attempt %d at endpoint %d: %v after %v%s", f.num, ep, OutcomeName(e.Outcome), e.Elapsed.Round(time.Millisecond), waitText(e.RetryAfter))
 	if e.Outcome == rules.OK && !k.over && now <= k.m.Deadline {
 		h.over(k, model.Served, 0)
 	}
-	e.Over = k.over
+	e.Finished = k.over
 	h.tell(e)
 }
 
--- a/lab/sender/sender.go
+++ b/lab/sender/sender.go
@@ -118,7 +118,7 @@
 	h.tell(h.hear(h.w.Registry.Start(h.Number)))
 	now := h.w.Queue.Now()
 	for _, id := range slices.Sorted(maps.Keys(h.outages)) {
-		h.tell(rules.Remembered{Endpoint: id, Ago: now - h.outages[id].since, Rate: h.outages[id].rate})
+		h.tell(rules.RememberedOutage{Endpoint: id, Age: now - h.outages[id].since, Rate: h.outages[id].rate})
 	}
 	for _, k := range h.kept {
 		h.held[k.m.ID] = k
@@ -129,21 +129,21 @@
 
 func (h *Host) arrived(k *holding, now time.Duration) rules.Arrived {
 	e := rules.Arrived{ID: k.m.ID, Destination: k.m.Dest, Class: k.m.Class, Tenant: k.m.Tenant, OrderKey: k.m.Key,
-		TimeLeft: k.m.Deadline - now, Before: rules.Before{Attempts: k.attempts, Failed: k.failed}}
+		TimeLeft: k.m.Deadline - now, Prior: rules.PriorAttempts{Count: k.attempts, Failed: k.failed}}
 	if k.mayRun {
-		e.Before.MayRun, e.Before.Ago, e.Before.At = true, now-k.ran, k.ranAt
+		e.Prior.MayHaveRun, e.Prior.Age, e.Prior.Endpoint = true, now-k.ran, k.ranAt
 	}
 	return e
 }
 
 // hear lets the judge know what the sender is told of the list.
-func (h *Host) hear(e rules.Listed) rules.Listed {
+func (h *Host) hear(e rules.ListUpdate) rules.ListUpdate {
 	h.w.Judge.Listed(h.w.Queue.Now(), h.Number, e)
 	return e
 }
 
 // Listed brings news of the list.
-func (h *Host) Listed(e rules.Listed) {
+func (h *Host) Listed(e rules.ListUpdate) {
 	if h.Up {
 		h.tell(h.hear(e))
 	}
@@ -220,7 +220,7 @@
 		case t.To == rules.Healthy:
 			delete(h.outages, t.Endpoint)
 		case t.From == rules.Healthy:
-			h.outages[t.Endpoint] = outage{now, t.Rate}
+			h.outages[t.Endpoint] = outage{now, t.PreOutageRate}
 		}
 	}
 }
@@ -269,10 +269,10 @@
 			epoch := h.epoch
 			h.w.Registry.Watch(h.Number, func() {
 				if h.epoch == epoch && h.Up {
-					h.tell(rules.ListFailed{})
+					h.tell(rules.DiscoveryFailed{})
 				}
 			})
-		case rules.Forgot:
+		case rules.EndpointForgotten:
 		default:
 			h.fault("action %T is not known", a)
 		}
@@ -291,7 +291,7 @@
 	}
 	for _, t := range h.transitions {
 		h.w.Trace("sender %d: endpoint %d goes from %v to %v (%s), %d failures, failing for %v, next call in %v", h.Number, t.Endpoint,
-			t.From, t.To, t.Cause, t.Failures, (t.At - t.Failing).Round(time.Millisecond), t.Gap.Round(time.Millisecond))
+			t.From, t.To, t.Cause, t.ConsecutiveFailures, (t.At - t.FailingSince).Round(time.Millisecond), t.CallInterval.Round(time.Millisecond))
 	}
 }
 
@@ -310,7 +310,7 @@
 	epoch := h.epoch
 	h.timers.After(after, func() {
 		if h.Up && h.epoch == epoch {
-			h.tell(rules.Woke{})
+			h.tell(rules.WakeUp{})
 		}
 	})
 }
--- a/lab/world/judge_test.go
+++ b/lab/world/judge_test.go
@@ -46,7 +46,7 @@
 func (s *sloppy) Step(now time.Duration, events []rules.Event) (out []rules.Action) {
 	for _, e := range events {
 		switch e := e.(type) {
-		case rules.Listed:
+		case rules.ListUpdate:
 			for _, x := range e.Entries {
 				if x.Draining || x.Gone {
 					if !s.deaf {
@@ -64,7 +64,7 @@
 		case rules.Arrived:
 			m := &sloppyMsg{Arrived: e, due: now + e.TimeLeft - 2*s.set.Tick}
 			s.msgs[e.ID], s.order = m, append(s.order, m)
-		case rules.Ended:
+		case rules.AttemptEnded:
 			out = s.ended(now, e, out)
 		}
 	}
@@ -85,24 +85,24 @@
 	return out
 }
 
-func (s *sloppy) ended(now time.Duration, e rules.Ended, out []rules.Action) []rules.Action {
+func (s *sloppy) ended(now time.Duration, e rules.AttemptEnded, out []rules.Action) []rules.Action {
 	m := s.msgs[e.ID]
 	if m == nil {
 		return out
 	}
 	m.out, m.next = false, now+200*time.Millisecond
-	if e.Wait > 0 {
-		s.waits[m.Destination] = now + e.Wait
+	if e.RetryAfter > 0 {
+		s.waits[m.Destination] = now + e.RetryAfter
 	}
 	switch e.Outcome {
 	case rules.OK:
-	case rules.Full, rules.NotSent:
+	case rules.Refused, rules.NotSent:
 	default:
 		s.rest[m.OrderKey] = now + s.set.OrderPause
 		m.mayRun = m.mayRun || e.Outcome != rules.ConnectError
 		s.cold[m.Destination] = now + time.Second
 	}
-	if e.Over {
+	if e.Finished {
 		delete(s.msgs, e.ID)
 		if s.twice {
 			out = append(out, rules.Fail{ID: e.ID})
--- a/lab/world/recorded_test.go
+++ b/lab/world/recorded_test.go
@@ -31,11 +31,25 @@
 	actions := r.p.Step(now, events)
 	fmt.Fprintf(r.h, "%d %d\n", now, len(events))
 	for _, a := range actions {
-		fmt.Fprintf(r.h, "%T%+v\n", a, a)
+		fmt.Fprintln(r.h, recordedForm(a))
 	}
 	return actions
 }
 
+// recordedForm prints an action with all its fields, under the names that the recorded digests were made with.
+func recordedForm(a rules.Action) string {
+	text := fmt.Sprintf("%T%+v", a, a)
+	switch a.(type) {
+	case rules.Send:
+		return strings.Replace(text, " WriteWithin:", " Within:", 1)
+	case rules.PublishHint:
+		return strings.NewReplacer("rules.PublishHint{Hint:", "rules.Tell{Note:", " RetryAfter:", " Wait:").Replace(text)
+	case rules.EndpointForgotten:
+		return strings.Replace(text, "rules.EndpointForgotten{", "rules.Forgot{", 1)
+	}
+	return text
+}
+
 // TestTheModuleActsAsRecorded plays days of many kinds and compares every action of every sender process, by digest, with
 // those recorded before the module's bookkeeping was changed: what is faster must not decide differently.
 func TestTheModuleActsAsRecorded(t *testing.T) {
--- a/lab/world/theory_test.go
+++ b/lab/world/theory_test.go
@@ -23,7 +23,7 @@
 func (p *passing) Step(_ time.Duration, events []rules.Event) (out []rules.Action) {
 	for _, e := range events {
 		switch e := e.(type) {
-		case rules.Listed:
+		case rules.ListUpdate:
 			for _, x := range e.Entries {
 				if _, known := p.eps[x.Destination]; !known {
 					p.eps[x.Destination] = x.Endpoint
@@ -31,8 +31,8 @@
 			}
 		case rules.Arrived:
 			out = append(out, rules.Send{ID: e.ID, Endpoint: p.eps[e.Destination]})
-		case rules.Ended:
-			if !e.Over {
+		case rules.AttemptEnded:
+			if !e.Finished {
 				out = append(out, rules.Refuse{ID: e.ID})
 			}
 		}
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -127,7 +127,7 @@
 		return -1, -1
 	})
 	w.reg = registry.New(s.Senders.Count, s.Registry.Mode == "ask", s.Registry.Lag.Random(), &w.q,
-		random.Stream(o.Seed, "registry", 0), func(n int, e rules.Listed) { w.senders[n].Listed(e) })
+		random.Stream(o.Seed, "registry", 0), func(n int, e rules.ListUpdate) { w.senders[n].Listed(e) })
 	w.site = NewSite(s, o.Seed, &w.q, w.reg, (*watcher)(w))
 	for _, d := range w.site.Busiest(16) {
 		w.books.Watch(d, w.site.Rate(d))
@@ -142,7 +142,7 @@
 	return w, nil
 }
 
-var scopes = map[string]rules.Scope{"destination": rules.ScopeDestination, "zone": rules.ScopeZone, "endpoint": rules.ScopeEndpoint}
+var scopes = map[string]rules.DedupScope{"destination": rules.DedupDestination, "zone": rules.DedupZone, "endpoint": rules.DedupEndpoint}
 var effects = map[string]rules.Effect{"safe": rules.Safe, "keyed": rules.Keyed, "once": rules.AtMostOnce}
 
 // Settings turns a scenario into the settings that a sender starts with.
@@ -150,10 +150,10 @@
 	x, r := s.Senders, s.Rules
 	set := rules.Settings{Senders: x.Count, Zone: zone, Tick: x.Tick.D(), Slots: x.Slots, MaxHeld: x.MaxHeld,
 		MaxAttempts: x.MaxAttempts, ConnectTimeout: x.ConnectTimeout.D(), KeepAlive: x.KeepAlive.D(),
-		MaxRetryAfter: x.MaxRetryAfter.D(), MayAdvise: x.MayAdvise, MayCancel: x.MayCancel, AnswerGrace: r.AnswerGrace.D(),
+		MaxRetryAfter: x.MaxRetryAfter.D(), MaySendRetryAfter: x.MayAdvise, MayCancel: x.MayCancel, AnswerGrace: r.AnswerGrace.D(),
 		DrainGrace: r.DrainGrace.D(), ColdShare: r.ColdShare, WarmUp: r.WarmUp.D(), FallWindow: r.FallWindow.D(),
-		OverloadFactor: r.OverloadFactor, OrderPause: r.OrderPause.D(), AskRegistry: s.Registry.Mode == "ask",
-		AskEvery: 10 * time.Second, RatesListed: x.RatesListed != "none", RatesExact: x.RatesListed == "exact", LateHalving: true, OverShareWorth: 0.2}
+		OverloadFactor: r.OverloadFactor, OrderPause: r.OrderPause.D(), WatchesRegistry: s.Registry.Mode == "ask",
+		WatchInterval: 10 * time.Second, RatesListed: x.RatesListed != "none", RatesExact: x.RatesListed == "exact", LateHalving: true, OverShareWorth: 0.2}
 	for _, k := range s.Kinds {
 		set.Kinds = append(set.Kinds, rules.Kind{RoutesApart: k.RoutesApart, Batch: k.Batch})
 	}
--- a/rules/api.go
+++ b/rules/api.go
@@ -23,19 +23,19 @@
 )
 
 // Scope says which endpoints of a destination drop repeats of a keyed message.
-type Scope int
+type DedupScope int
 
 // The scopes of a key.
 const (
-	ScopeDestination Scope = iota
-	ScopeZone
-	ScopeEndpoint
+	DedupDestination DedupScope = iota
+	DedupZone
+	DedupEndpoint
 )
 
 // Class is one class of message.
 type Class struct {
 	Effect    Effect
-	Scope     Scope
+	Scope     DedupScope
 	Window    time.Duration // for Keyed: how long a destination remembers a key
 	Aim       time.Duration // delivered within this time, a message earns its full worth
 	Deadline  time.Duration
@@ -66,11 +66,11 @@
 	MaxHeld     int // messages held at once, sent or not
 	MaxAttempts int
 
-	ConnectTimeout time.Duration
-	KeepAlive      time.Duration
-	MaxRetryAfter  time.Duration
-	MayAdvise      bool // a refusal may say when to come back
-	MayCancel      bool
+	ConnectTimeout    time.Duration
+	KeepAlive         time.Duration
+	MaxRetryAfter     time.Duration
+	MaySendRetryAfter bool // a refusal may say when to come back
+	MayCancel         bool
 
 	AnswerGrace    time.Duration // a final answer still counts this long after the deadline
 	DrainGrace     time.Duration
@@ -80,16 +80,16 @@
 	OverloadFactor float64
 	OrderPause     time.Duration // rest of an order key after an attempt that may still run
 
-	MayTell bool // senders may send each other notes
+	MayShareHints bool // senders may send each other notes
 
-	AskRegistry bool // changes come only to a sender that watches
-	AskEvery    time.Duration
+	WatchesRegistry bool // changes come only to a sender that watches
+	WatchInterval   time.Duration
 
 	RatesListed    bool // endpoints' listed rates mean something
 	RatesExact     bool // and are true, not up to half too high or low
 	LateHalving    bool // late worth halves with each further aim, else it falls evenly
 	OverShareWorth float64
-	ZoneTolls      []float64 // by zone: points off the result for each message that a route apart there takes on
+	ZoneCosts      []float64 // by zone: points off the result for each message that a route apart there takes on
 
 	Kinds   []Kind
 	Classes []Class
@@ -114,7 +114,7 @@
 const (
 	OK           Outcome = iota
 	Errored              // the destination answered with an error; it may have taken effect
-	Full                 // turned away unseen; it never ran
+	Refused              // turned away unseen; it never ran
 	TimedOut             // no answer in time; it may have taken effect or still do so
 	ConnectError         // no connection; it never ran
 	Reset                // the connection broke; it may have taken effect
@@ -123,12 +123,12 @@
 )
 
 // MayRun tells whether an attempt with this outcome may have run, by the protocol's table.
-func (o Outcome) MayRun() bool { return o != Full && o != ConnectError && o != NotSent }
+func (o Outcome) MayHaveRun() bool { return o != Refused && o != ConnectError && o != NotSent }
 
 // Report is what a destination tells of its limit with an answer.
 type Report struct {
-	Left  float64 // share of the allowance that is left
-	Limit float64 // calls a second that the limit allows, 0 for none told
+	Remaining float64 // share of the allowance that is left
+	Limit     float64 // calls a second that the limit allows, 0 for none told
 }
 
 // Event is something a sender is told.
@@ -143,35 +143,35 @@
 	OrderKey    string
 	TimeLeft    time.Duration
 	Estimate    time.Duration // rough cost of the call, 0 for none given
-	Before      Before
+	Prior       PriorAttempts
 }
 
 // Before is what became of a message before this sender started, for one that an earlier process of the same
 // sender had taken and still owes its end. The zero value is a new message.
-type Before struct {
-	Attempts int           // made so far
-	Failed   int           // of them, as far as known: errors, resets, time-outs, connections not had but for a full table
-	MayRun   bool          // one of them may have run
-	Ago      time.Duration // how long ago the earliest such attempt was made
-	At       EndpointID    // where, as far as it is still listed
+type PriorAttempts struct {
+	Count      int           // made so far
+	Failed     int           // of them, as far as known: errors, resets, time-outs, connections not had but for a full table
+	MayHaveRun bool          // one of them may have run
+	Age        time.Duration // how long ago the earliest such attempt was made
+	Endpoint   EndpointID    // where, as far as it is still listed
 }
 
 // Withdrawn tells that nobody wants the message any more.
 type Withdrawn struct{ ID MessageID }
 
 // Ended tells how an attempt ended.
-type Ended struct {
-	ID       MessageID
-	Attempt  int
-	Endpoint EndpointID
-	Outcome  Outcome
-	Elapsed  time.Duration
-	Over     bool          // the message has its final answer, by this outcome or before it
-	Wait     time.Duration // with Full: stay away this long
-	NoSlot   bool          // with NotSent: every slot was taken
-	Recalled bool          // with NotSent: by a Recall; it is no attempt
-	NoPlace  bool          // with ConnectError: the endpoint is there, and says that it holds all the connections it can
-	Report   Report
+type AttemptEnded struct {
+	ID                     MessageID
+	Attempt                int
+	Endpoint               EndpointID
+	Outcome                Outcome
+	Elapsed                time.Duration
+	Finished               bool          // the message has its final answer, by this outcome or before it
+	RetryAfter             time.Duration // with Full: stay away this long
+	NoFreeSlot             bool          // with NotSent: every slot was taken
+	Recalled               bool          // with NotSent: by a Recall; it is no attempt
+	ConnectionLimitReached bool          // with ConnectError: the endpoint is there, and says that it holds all the connections it can
+	Report                 Report
 }
 
 // StreamStarted tells that an answer has begun; the attempt now belongs to the client.
@@ -181,58 +181,58 @@
 }
 
 // Listed brings the registry's list, whole or as changes.
-type Listed struct {
+type ListUpdate struct {
 	Whole   bool
 	Entries []Entry
 }
 
 // Ending tells that the sender's process is to end in a while. A call that is out then may have run.
-type Ending struct{ After time.Duration }
+type ShuttingDown struct{ After time.Duration }
 
 // ListFailed tells that a call to the registry failed or the watch broke.
-type ListFailed struct{}
+type DiscoveryFailed struct{}
 
 // Remembered tells that an earlier process of the same sender had seen an outage of an endpoint and had not yet seen it warm
 // again. It is a hint: no rule rests on it.
-type Remembered struct {
+type RememberedOutage struct {
 	Endpoint EndpointID
-	Ago      time.Duration // since the process took it for out
+	Age      time.Duration // since the process took it for out
 	Rate     float64       // calls a second that it had delivered there before
 }
 
 // Woke tells that a wake-up asked for has come due.
-type Woke struct{}
+type WakeUp struct{}
 
 // Told brings a note of another sender. It may be late, come twice or never, and is taken as a hint: no rule rests on it.
-type Told struct{ Note Note }
+type HintReceived struct{ Hint Hint }
 
 // Note says that an endpoint left a call of a class unanswered or failed it or, with Wait, that it is shut for so long.
-type Note struct {
-	Endpoint EndpointID
-	Class    int
-	Wait     time.Duration
+type Hint struct {
+	Endpoint   EndpointID
+	Class      int
+	RetryAfter time.Duration
 }
 
-func (Arrived) event()       {}
-func (Told) event()          {}
-func (Withdrawn) event()     {}
-func (Ended) event()         {}
-func (StreamStarted) event() {}
-func (Listed) event()        {}
-func (Ending) event()        {}
-func (ListFailed) event()    {}
-func (Remembered) event()    {}
-func (Woke) event()          {}
+func (Arrived) event()          {}
+func (HintReceived) event()     {}
+func (Withdrawn) event()        {}
+func (AttemptEnded) event()     {}
+func (StreamStarted) event()    {}
+func (ListUpdate) event()       {}
+func (ShuttingDown) event()     {}
+func (DiscoveryFailed) event()  {}
+func (RememberedOutage) event() {}
+func (WakeUp) event()           {}
 
 // Action is something a sender does.
 type Action interface{ action() }
 
 // Send makes an attempt. Sends of one step to one endpoint share a call as far as its kind allows.
 type Send struct {
-	ID       MessageID
-	Endpoint EndpointID
-	Timeout  time.Duration // 0: until the client gives up
-	Within   time.Duration // it leaves whole within this time, or ends as NotSent, Recalled; 0: whenever its connection is there
+	ID          MessageID
+	Endpoint    EndpointID
+	Timeout     time.Duration // 0: until the client gives up
+	WriteWithin time.Duration // it leaves whole within this time, or ends as NotSent, Recalled; 0: whenever its connection is there
 }
 
 // Refuse ends a message with the promise that trying again is harmless.
@@ -262,7 +262,7 @@
 
 // Forgot tells that an endpoint which the list no longer names is of no more concern: nothing refers to it, and should
 // the list name it again, it is a new one.
-type Forgot struct{ Endpoint EndpointID }
+type EndpointForgotten struct{ Endpoint EndpointID }
 
 // WakeAfter asks for a Woke event.
 type WakeAfter struct{ After time.Duration }
@@ -271,15 +271,15 @@
 type Watch struct{}
 
 // Tell sends a note to all other senders, where Settings.MayTell.
-type Tell struct{ Note Note }
-
-func (Send) action()      {}
-func (Tell) action()      {}
-func (Refuse) action()    {}
-func (Fail) action()      {}
-func (Cancel) action()    {}
-func (Recall) action()    {}
-func (CloseIdle) action() {}
-func (Forgot) action()    {}
-func (WakeAfter) action() {}
-func (Watch) action()     {}
+type PublishHint struct{ Hint Hint }
+
+func (Send) action()              {}
+func (PublishHint) action()       {}
+func (Refuse) action()            {}
+func (Fail) action()              {}
+func (Cancel) action()            {}
+func (Recall) action()            {}
+func (CloseIdle) action()         {}
+func (EndpointForgotten) action() {}
+func (WakeAfter) action()         {}
+func (Watch) action()             {}
--- a/rules/backlog_bench_test.go
+++ b/rules/backlog_bench_test.go
@@ -29,7 +29,7 @@
 	set.Classes[safe].KeepOrder = key != ""
 	set.Classes[safe].Aim, set.Classes[safe].Deadline = pileLife/2, pileLife
 	p := &pile{s: New(set), now: 100 * sec, held: held, why: why, key: key, tries: map[MessageID]int{}}
-	p.step(Listed{Whole: true, Entries: []Entry{{Endpoint: 1, Destination: 1}}})
+	p.step(ListUpdate{Whole: true, Entries: []Entry{{Endpoint: 1, Destination: 1}}})
 	for i := range held {
 		p.arrive(pileLife/5 + time.Duration(i)*(pileLife/5*3/time.Duration(held)))
 	}
@@ -52,8 +52,8 @@
 	p.events = nil
 	for _, a := range p.s.Step(p.now, next) {
 		if a, ok := a.(Send); ok {
-			p.events = append(p.events, Ended{ID: a.ID, Attempt: p.tries[a.ID], Endpoint: a.Endpoint, Outcome: p.why,
-				Elapsed: 5 * ms, Over: p.why == OK})
+			p.events = append(p.events, AttemptEnded{ID: a.ID, Attempt: p.tries[a.ID], Endpoint: a.Endpoint, Outcome: p.why,
+				Elapsed: 5 * ms, Finished: p.why == OK})
 			if p.tries[a.ID]++; p.why == OK {
 				delete(p.tries, a.ID)
 			}
--- a/rules/backlog_test.go
+++ b/rules/backlog_test.go
@@ -14,54 +14,54 @@
 // The ranking of all that is held, as it was before what waits was kept in groups: the choices must come to the same.
 
 // messages are those held for a destination, in order of arrival.
-func (s *Sender) messages(d *destination) (list []*message) {
+func (s *Sender) messages(d *destinationState) (list []*message) {
 	for _, m := range s.held {
-		if m.dest == d {
+		if m.destination == d {
 			list = append(list, m)
 		}
 	}
-	slices.SortFunc(list, byArrival)
+	slices.SortFunc(list, compareArrivals)
 	return list
 }
 
-func (s *Sender) fillOfAll(d *destination, ep *endpoint) plan {
-	var fit []ranked
+func (s *Sender) fillOfAll(d *destinationState, ep *endpointState) plan {
+	var fit []rankedMessage
 	horizon := s.horizon(d)
 	for _, m := range s.messages(d) {
-		if s.fits(m, ep) && s.maySend(m, ep) {
+		if s.suits(m, ep) && s.maySend(m, ep) {
 			at := s.now + seconds(ep.latency)
 			v := s.worth(m, at)
-			fit = append(fit, ranked{m, s.tenantWeight(m.tenant) * (v - s.worth(m, at+horizon) + baseUrgency*v)})
+			fit = append(fit, rankedMessage{m, s.tenantWeight(m.tenant) * (v - s.worth(m, at+horizon) + baseWorthWeight*v)})
 		}
 	}
 	if len(fit) == 0 {
 		return plan{}
 	}
-	slices.SortStableFunc(fit, func(a, b ranked) int { return cmp.Compare(b.value, a.value) })
+	slices.SortStableFunc(fit, func(a, b rankedMessage) int { return cmp.Compare(b.value, a.value) })
 	n := max(1, s.kind(ep).Batch)
 	if ep.health == probation {
-		if slices.ContainsFunc(fit, func(r ranked) bool { return r.m.class.Effect == Safe }) {
-			fit = slices.DeleteFunc(fit, func(r ranked) bool { return r.m.class.Effect != Safe })
+		if slices.ContainsFunc(fit, func(r rankedMessage) bool { return r.message.class.Effect == Safe }) {
+			fit = slices.DeleteFunc(fit, func(r rankedMessage) bool { return r.message.class.Effect != Safe })
 		} else {
 			n = 1
 		}
 	}
-	if len(fit) < n && !slices.ContainsFunc(fit, func(r ranked) bool { return s.ripe(r.m) }) {
+	if len(fit) < n && !slices.ContainsFunc(fit, func(r rankedMessage) bool { return s.waitedForBatch(r.message) }) {
 		return plan{}
 	}
-	p := plan{ep: ep}
+	p := plan{endpoint: ep}
 	for _, r := range fit[:min(n, len(fit))] {
-		p.msgs = append(p.msgs, r.m)
+		p.messages = append(p.messages, r.message)
 		p.score += r.value
 	}
 	p.score /= max(ep.latency, 0.05)
 	return p
 }
 
-func (s *Sender) cheapestOfAll(d *destination) *message {
+func (s *Sender) cheapestOfAll(d *destinationState) *message {
 	var least *message
 	for _, m := range s.messages(d) {
-		if len(m.out) == 0 && !m.streamed && s.mayRefuse(m) &&
+		if len(m.inFlight) == 0 && !m.streamed && s.mayRefuse(m) &&
 			(least == nil || s.worth(m, s.now) <= s.worth(least, s.now)) {
 			least = m
 		}
@@ -69,10 +69,10 @@
 	return least
 }
 
-func (s *Sender) dueBeforeOfAll(d *destination, at, shut time.Duration) (list []*message) {
+func (s *Sender) dueBeforeOfAll(d *destinationState, at, shut time.Duration) (list []*message) {
 	for _, m := range s.messages(d) {
-		due := s.due(m)
-		if mayEnd := at > due && s.mayRefuse(m) || shut > due; mayEnd && len(m.out) == 0 && !m.streamed {
+		due := s.answerDeadline(m)
+		if mayEnd := at > due && s.mayRefuse(m) || shut > due; mayEnd && len(m.inFlight) == 0 && !m.streamed {
 			list = append(list, m)
 		}
 	}
@@ -84,35 +84,35 @@
 
 // compare holds the choices for all destinations against those of the ranking, as of the sender's time.
 func (c *choices) compare(t *rapid.T, s *Sender) {
-	for _, d := range byNumber(s.dests) {
+	for _, d := range byNumber(s.destinations) {
 		all := s.messages(d)
 		idle := 0
 		for _, m := range all {
-			if len(m.out) == 0 {
+			if len(m.inFlight) == 0 {
 				idle++
 			}
-			if waits := len(m.out) == 0 && !m.streamed; waits != (m.group != nil) {
+			if waits := len(m.inFlight) == 0 && !m.streamed; waits != (m.group != nil) {
 				t.Fatalf("%s waits: %v, is in a group: %v", m.id, waits, m.group != nil)
 			}
-			if m.group != nil && s.due(m) < d.firstDue {
-				t.Fatalf("%s is due at %v, the first of them is said to be at %v", m.id, s.due(m), d.firstDue)
+			if m.group != nil && s.answerDeadline(m) < d.firstDue {
+				t.Fatalf("%s is due at %v, the first of them is said to be at %v", m.id, s.answerDeadline(m), d.firstDue)
 			}
 		}
-		if d.held != len(all) || d.anyWaits() != (idle > 0) {
-			t.Fatalf("%d counted as held, %d are; any waits: %v, %d do", d.held, len(all), d.anyWaits(), idle)
+		if d.held != len(all) || d.hasWaiting() != (idle > 0) {
+			t.Fatalf("%d counted as held, %d are; any waits: %v, %d do", d.held, len(all), d.hasWaiting(), idle)
 		}
 		for _, ep := range d.endpoints {
-			if at := slices.ContainsFunc(all, func(m *message) bool { return m.mayRunAt == ep }); at != (s.ran[ep] > 0) {
-				t.Fatalf("messages that may have run at %d: %v, counted %d", ep.id, at, s.ran[ep])
+			if at := slices.ContainsFunc(all, func(m *message) bool { return m.mayHaveRunOn == ep }); at != (s.mayHaveRunCounts[ep] > 0) {
+				t.Fatalf("messages that may have run at %d: %v, counted %d", ep.id, at, s.mayHaveRunCounts[ep])
 			}
-			got, want := s.fill(d, ep), s.fillOfAll(d, ep)
-			if got.ep != want.ep || got.score != want.score || !slices.Equal(got.msgs, want.msgs) {
+			got, want := s.fillCall(d, ep), s.fillOfAll(d, ep)
+			if got.endpoint != want.endpoint || got.score != want.score || !slices.Equal(got.messages, want.messages) {
 				t.Fatalf("at %v, endpoint %d in health %d: chosen %v (%v), the ranking of all has %v (%v)", s.now, ep.id, ep.health,
-					names(got.msgs), got.score, names(want.msgs), want.score)
+					names(got.messages), got.score, names(want.messages), want.score)
 			}
-			if want.ep != nil && idle > len(want.msgs) {
+			if want.endpoint != nil && idle > len(want.messages) {
 				c.fills++
-				c.batches += min(1, len(want.msgs)-1)
+				c.batches += min(1, len(want.messages)-1)
 				c.groups += min(1, len(d.groups)-1)
 			}
 		}
@@ -131,7 +131,7 @@
 		if m == nil {
 			out = append(out, "none")
 		} else {
-			out = append(out, fmt.Sprintf("%s of class %d, tenant %d, %d tries, due %v", m.id, m.classNo, m.tenant, m.tries, m.deadline))
+			out = append(out, fmt.Sprintf("%s of class %d, tenant %d, %d tries, due %v", m.id, m.classIndex, m.tenant, m.attemptCount, m.deadline))
 		}
 	}
 	return out
@@ -155,7 +155,7 @@
 		deadline := time.Duration(rapid.IntRange(1, 20_000).Draw(t, "deadline")) * ms
 		set.Classes[i] = Class{
 			Effect: rapid.SampledFrom([]Effect{Safe, Keyed, AtMostOnce}).Draw(t, "effect"),
-			Scope:  rapid.SampledFrom([]Scope{ScopeDestination, ScopeZone, ScopeEndpoint}).Draw(t, "scope"),
+			Scope:  rapid.SampledFrom([]DedupScope{DedupDestination, DedupZone, DedupEndpoint}).Draw(t, "scope"),
 			Window: time.Duration(rapid.IntRange(100, 9000).Draw(t, "window")) * ms,
 			Aim:    time.Duration(rapid.IntRange(0, int(deadline/ms)).Draw(t, "aim")) * ms, Deadline: deadline,
 			Worth:     rapid.SampledFrom([]float64{1, 1, 0, 3.7}).Draw(t, "worth"),
@@ -192,12 +192,12 @@
 				}
 			}
 			for _, m := range s.held {
-				if !m.streamed && (s.now >= s.due(m) || len(m.out) == 0 && s.spent(m)) {
-					t.Fatalf("%s is due at %v, or spent, and still held at %v", m.id, s.due(m), s.now)
+				if !m.streamed && (s.now >= s.answerDeadline(m) || len(m.inFlight) == 0 && s.exhausted(m)) {
+					t.Fatalf("%s is due at %v, or spent, and still held at %v", m.id, s.answerDeadline(m), s.now)
 				}
 			}
 		}
-		step(Listed{Whole: true, Entries: entries})
+		step(ListUpdate{Whole: true, Entries: entries})
 		ahead := rapid.Bool().Draw(t, "looks ahead")
 		for range rapid.IntRange(1, 25).Draw(t, "steps") {
 			now += time.Duration(rapid.SampledFrom([]int{5, 5, 5, 40, 700}).Draw(t, "passes")) * ms
@@ -220,12 +220,12 @@
 					e.OrderKey = rapid.SampledFrom([]string{"", "a", "b", "c"}).Draw(t, "key")
 				}
 				if rapid.IntRange(0, 9).Draw(t, "earlier process") == 0 {
-					e.Before = Before{Attempts: rapid.IntRange(1, 3).Draw(t, "attempts before"), MayRun: rapid.Bool().Draw(t, "may have run"),
-						Ago: time.Duration(rapid.IntRange(0, 4000).Draw(t, "ago")) * ms, At: EndpointID(3*e.Destination + rapid.IntRange(1, 3).Draw(t, "at"))}
+					e.Prior = PriorAttempts{Count: rapid.IntRange(1, 3).Draw(t, "attempts before"), MayHaveRun: rapid.Bool().Draw(t, "may have run"),
+						Age: time.Duration(rapid.IntRange(0, 4000).Draw(t, "ago")) * ms, Endpoint: EndpointID(3*e.Destination + rapid.IntRange(1, 3).Draw(t, "at"))}
 					if rapid.IntRange(0, 3).Draw(t, "unlisted") == 0 {
-						e.Before.At = 99
+						e.Prior.Endpoint = 99
 					}
-					nums[e.ID] = e.Before.Attempts
+					nums[e.ID] = e.Prior.Count
 				}
 				events = append(events, e)
 			}
@@ -233,12 +233,12 @@
 				if rapid.IntRange(0, 2).Draw(t, "ends") > 0 {
 					continue
 				}
-				e := Ended{ID: calls[i].key.id, Attempt: calls[i].key.num, Endpoint: calls[i].ep, Elapsed: 30 * ms,
-					Outcome: rapid.SampledFrom([]Outcome{OK, OK, Errored, Full, Full, TimedOut, ConnectError, Reset, NotSent}).Draw(t, "outcome")}
-				e.Over = e.Outcome == OK
+				e := AttemptEnded{ID: calls[i].key.id, Attempt: calls[i].key.number, Endpoint: calls[i].ep, Elapsed: 30 * ms,
+					Outcome: rapid.SampledFrom([]Outcome{OK, OK, Errored, Refused, Refused, TimedOut, ConnectError, Reset, NotSent}).Draw(t, "outcome")}
+				e.Finished = e.Outcome == OK
 				e.Recalled = e.Outcome == NotSent
-				if e.Outcome == Full && rapid.IntRange(0, 4).Draw(t, "tells a wait") == 0 {
-					e.Wait = 3 * sec
+				if e.Outcome == Refused && rapid.IntRange(0, 4).Draw(t, "tells a wait") == 0 {
+					e.RetryAfter = 3 * sec
 				}
 				events = append(events, e)
 				calls = slices.Delete(calls, i, i+1)
@@ -247,21 +247,21 @@
 				events = append(events, Withdrawn{MessageID(fmt.Sprint("m", rapid.IntRange(1, taken).Draw(t, "which")))})
 			}
 			if len(calls) > 0 && rapid.IntRange(0, 9).Draw(t, "streams") == 0 {
-				events = append(events, StreamStarted{calls[0].key.id, calls[0].key.num})
+				events = append(events, StreamStarted{calls[0].key.id, calls[0].key.number})
 			}
 			if rapid.IntRange(0, 9).Draw(t, "drains") == 0 {
 				e := entries[rapid.IntRange(0, 5).Draw(t, "endpoint")]
 				e.Draining = rapid.Bool().Draw(t, "draining")
-				events = append(events, Listed{Entries: []Entry{e}})
+				events = append(events, ListUpdate{Entries: []Entry{e}})
 			}
 			step(events...)
 			c.compare(t, s)
 			if ahead { // which also ends pauses, so that in other plays they are left to the steps
 				s.now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "later")) * ms
-				s.resume()
+				s.enqueueResumed()
 				c.compare(t, s)
 			}
-			for _, d := range byNumber(s.dests) {
+			for _, d := range byNumber(s.destinations) {
 				at, shut := s.now+time.Duration(rapid.IntRange(-3000, 9000).Draw(t, "open"))*ms, s.now
 				first := d.firstDue
 				want := s.dueBeforeOfAll(d, at, shut)
@@ -286,8 +286,8 @@
 }
 
 // byNumber is the destinations that are awake, in an order that repeats.
-func byNumber(all map[int]*destination) []*destination {
-	var list []*destination
+func byNumber(all map[int]*destinationState) []*destinationState {
+	var list []*destinationState
 	for _, n := range slices.Sorted(maps.Keys(all)) {
 		list = append(list, all[n])
 	}
--- a/rules/doubt.go
+++ b/rules/doubt.go
@@ -10,41 +10,46 @@
 // out. Doubt ends by an answer to a later call or by taking the endpoint for out. It must never let many
 // senders go on in one moment.
 const (
-	retryPause    = 5 * time.Millisecond   // for each sender beyond a few: they must not retry at once
-	maxRetryPause = 200 * time.Millisecond // longer ones bring the first retries of an outage to its end
-	elsewhere     = 8                      // times as long while another endpoint of the destination serves
-	followUp      = 100 * time.Millisecond // from the end of a pause; a failure not followed up counts as two
+	pausePerSender = 5 * time.Millisecond // for each sender beyond a few: they must not retry at once
+	// longer ones bring the first retries of an outage to its end
+	maxFailurePause = 200 * time.Millisecond
+	// times as long while another endpoint of the destination serves
+	alternativePauseFactor = 8
+	// from the end of a pause; a failure not followed up counts as two
+	followUpGrace = 100 * time.Millisecond
 )
 
 // pause is how long a destination's failed endpoints are left alone while it is in doubt whether they are
 // down.
-func (s *Sender) pause(ep *endpoint) time.Duration {
-	pause := min(retryPause*time.Duration(max(s.set.Senders-fewSenders, 0)), maxRetryPause)
-	if slices.ContainsFunc(ep.dest.endpoints, func(o *endpoint) bool { return o.listed && o.fails == 0 }) {
-		pause *= elsewhere
+func (s *Sender) failurePause(ep *endpointState) time.Duration {
+	pause := min(pausePerSender*time.Duration(max(s.settings.Senders-smallFleet, 0)), maxFailurePause)
+	if slices.ContainsFunc(ep.destination.endpoints,
+		func(o *endpointState) bool { return o.inService && o.consecutiveFailures == 0 }) {
+		pause *= alternativePauseFactor
 	}
 	return seconds(pause.Seconds() * (0.5 + s.rng.Float64()))
 }
 
 // doubtful tells whether an endpoint that failed has a call out whose outcome will tell more: others wait
 // for it. Guards against a backlog that leaves at once when a pause ends; where answers are slow it is late.
-func (s *Sender) doubtful(ep *endpoint) bool {
-	most := max(1, int((1-s.caution())*float64(s.set.Slots)))
-	return most < s.set.Slots && ep.fails > 0 && ep.health == healthy && len(ep.calls) >= most
+func (s *Sender) awaitsConfirmation(ep *endpointState) bool {
+	most := max(1, int((1-s.failureWeight())*float64(s.settings.Slots)))
+	return most < s.settings.Slots && ep.consecutiveFailures > 0 && ep.health == healthy && len(ep.calls) >= most
 }
 
 // endDoubts takes endpoints for out whose last word is a failure that no call has followed in time. A brief
 // pause spreads the calls that follow failures as they come; those that had to wait, for a slot or for a
 // message, would leave many senders in one moment, as slots are freed by what ends for all of them at once.
-func (s *Sender) endDoubts() {
-	if s.caution() == 0 {
+func (s *Sender) expireSuspicions() {
+	if s.failureWeight() == 0 {
 		return
 	}
-	for _, d := range s.waiting {
+	for _, d := range s.backlogged {
 		for _, ep := range d.endpoints {
-			late := ep.fails > 0 && ep.health == healthy && s.now > d.retryAt+followUp && len(ep.calls) == 0
-			if late && s.alone(ep) && s.cautious() {
-				s.suspend(ep, TimedOut, CauseFailures)
+			late := ep.consecutiveFailures > 0 && ep.health == healthy &&
+				s.now > d.retryNotBefore+followUpGrace && len(ep.calls) == 0
+			if late && s.noAlternative(ep) && s.treatsAsOutage() {
+				s.startProbation(ep, TimedOut, CauseFailures)
 			}
 		}
 	}
@@ -52,53 +57,59 @@
 
 // outlastedDoubt tells whether an answer to a call ends a doubt that is too old for a chance failure, or one
 // on slow start: the endpoint may be cold.
-func (s *Sender) outlastedDoubt(ep *endpoint, sent time.Duration) bool {
-	if ep.fails == 0 || sent <= ep.failedAt || ep.health == probation || !s.cautious() {
+func (s *Sender) suspicionOutlasted(ep *endpointState, sent time.Duration) bool {
+	if ep.consecutiveFailures == 0 || sent <= ep.lastFailedSentAt || ep.health == probation ||
+		!s.treatsAsOutage() {
 		return false
 	}
-	return ep.health == ramping || sent-ep.failing >= briefTrouble && s.alone(ep)
+	return ep.health == slowStart || sent-ep.failingSince >= maxBriefOutage && s.noAlternative(ep)
 }
 
 // beginAnew begins the slow start that follows such a doubt.
-func (s *Sender) beginAnew(ep *endpoint, sent time.Duration) {
+func (s *Sender) slowStartAfterSuspicion(ep *endpointState, sent time.Duration) {
 	if ep.health == healthy {
-		ep.base, ep.symptom = s.deliveredBefore(ep), TimedOut
+		ep.preOutageRate, ep.symptom = s.measurePreOutageRate(ep), TimedOut
 	}
-	ep.charged = s.now
-	s.setHealth(ep, ramping, max(ep.since, s.returned(ep, sent)), CauseAnswered)
+	ep.lastCharged = s.now
+	s.setHealth(ep, slowStart, max(ep.healthSince, s.estimateReturn(ep, sent)), CauseAnswered)
 }
 
 // copyFailures gives a new endpoint its destination's failures and state, or the whole backlog goes there at
 // once.
-func (s *Sender) copyFailures(ep *endpoint) {
-	if s.set.Senders <= fewSenders {
+func (s *Sender) inheritFailures(ep *endpointState) {
+	if s.settings.Senders <= smallFleet {
 		return
 	}
-	for _, other := range ep.dest.endpoints {
-		if other.lane != ep.lane || other == ep {
+	for _, other := range ep.destination.endpoints {
+		if other.limitScope != ep.limitScope || other == ep {
 			continue
 		}
-		ep.fails = max(ep.fails, other.fails)
-		if other.health != healthy && ep.health == healthy && !serves(ep.dest, ep) && s.cautious() {
-			ep.symptom, ep.failing = other.symptom, other.failing
-			s.setHealth(ep, other.health, other.since, CauseInherited)
-			ep.charged = s.phase(ep)
+		ep.consecutiveFailures = max(ep.consecutiveFailures, other.consecutiveFailures)
+		if other.health != healthy && ep.health == healthy && !hasHealthyEndpoint(ep.destination, ep) &&
+			s.treatsAsOutage() {
+			ep.symptom, ep.failingSince = other.symptom, other.failingSince
+			s.setHealth(ep, other.health, other.healthSince, CauseInherited)
+			ep.lastCharged = s.randomPhase(ep)
 		}
 	}
 }
 
 // inTrouble tells whether a message's attempts before this process speak of an outage.
-func (b Before) inTrouble() bool { return b.Failed > 0 || b.MayRun && b.Ago > firstLate }
+func (b PriorAttempts) indicatesOutage() bool {
+	return b.Failed > 0 || b.MayHaveRun && b.Age > initialLateAfter
+}
 
 // serves tells whether a destination has an endpoint, other than this one, that is well as far as known.
-func serves(d *destination, but *endpoint) bool {
-	return slices.ContainsFunc(d.endpoints, func(o *endpoint) bool {
-		return o != but && o.listed && o.health == healthy && o.fails == 0
+func hasHealthyEndpoint(d *destinationState, but *endpointState) bool {
+	return slices.ContainsFunc(d.endpoints, func(o *endpointState) bool {
+		return o != but && o.inService && o.health == healthy && o.consecutiveFailures == 0
 	})
 }
 
 // alone tells whether no other endpoint vouches for an endpoint's destination. Else it may just be gone.
-func (s *Sender) alone(ep *endpoint) bool { return s.kind(ep).RoutesApart || !serves(ep.dest, ep) }
+func (s *Sender) noAlternative(ep *endpointState) bool {
+	return s.kind(ep).RoutesApart || !hasHealthyEndpoint(ep.destination, ep)
+}
 
 // restoreFailures takes over an earlier process's failures at a destination, or a fleet that restarts during
 // an outage sends all that it owes as it ends; one may have gone unheard, and a call that was out for long
@@ -106,19 +117,19 @@
 func (s *Sender) restoreFailures(a Arrived) {
 	d := s.destination(a.Destination)
 	for _, ep := range d.endpoints {
-		fails := min(max(a.Before.Failed, 2), failStreak)
-		if s.set.Senders > fewSenders && fails > ep.fails {
-			ep.fails, ep.failing = fails, s.now
-			d.retryAt = max(d.retryAt, s.now+s.pause(ep))
+		fails := min(max(a.Prior.Failed, 2), outageFailures)
+		if s.settings.Senders > smallFleet && fails > ep.consecutiveFailures {
+			ep.consecutiveFailures, ep.failingSince = fails, s.now
+			d.retryNotBefore = max(d.retryNotBefore, s.now+s.failurePause(ep))
 		}
 	}
 }
 
 // laterAnswered tells whether an answer speaks for an endpoint that left a call unanswered. Of many senders
 // only one to a later call does: calls of before an outage may be answered after a call that it swallowed.
-func (s *Sender) laterAnswered(ep *endpoint, sent time.Duration) bool {
-	if s.cautious() {
-		return ep.answeredFrom > sent
+func (s *Sender) laterAnswered(ep *endpointState, sent time.Duration) bool {
+	if s.treatsAsOutage() {
+		return ep.lastAnsweredSentAt > sent
 	}
-	return ep.lastAnswer > sent
+	return ep.lastAnsweredAt > sent
 }
--- a/rules/harness_test.go
+++ b/rules/harness_test.go
@@ -17,7 +17,7 @@
 func testSettings() Settings {
 	return Settings{
 		Seed: 7, Senders: 2, Tick: 5 * ms, Slots: 10, MaxHeld: 100, MaxAttempts: 6,
-		ConnectTimeout: sec, KeepAlive: 10 * sec, MaxRetryAfter: 3 * sec, MayAdvise: true, MayCancel: true,
+		ConnectTimeout: sec, KeepAlive: 10 * sec, MaxRetryAfter: 3 * sec, MaySendRetryAfter: true, MayCancel: true,
 		AnswerGrace: 20 * ms, DrainGrace: sec, ColdShare: 0.2, WarmUp: 10 * sec,
 		FallWindow: 2 * sec, OverloadFactor: 2, OrderPause: 500 * ms, LateHalving: true, OverShareWorth: 0.2,
 		Kinds: []Kind{{Batch: 1}, {Batch: 1, RoutesApart: true}, {Batch: 4}},
@@ -26,7 +26,7 @@
 			{Effect: AtMostOnce, Aim: 2 * sec, Deadline: 16 * sec, Worth: 1, LateWorth: 0.4},
 			{Effect: Keyed, Window: 6 * sec, Aim: 2 * sec, Deadline: 16 * sec, Worth: 1, LateWorth: 0.4},
 			{Effect: Safe, Aim: 2 * sec, Deadline: 16 * sec, Worth: 1, KeepOrder: true},
-			{Effect: Keyed, Scope: ScopeZone, Window: 6 * sec, Aim: 2 * sec, Deadline: 16 * sec, Worth: 1},
+			{Effect: Keyed, Scope: DedupZone, Window: 6 * sec, Aim: 2 * sec, Deadline: 16 * sec, Worth: 1},
 		},
 	}
 }
@@ -54,11 +54,11 @@
 		change(&set)
 	}
 	b := &bench{t: t, s: New(set), now: 100 * sec}
-	b.s.restAfter = 1e6 * sec // tests hold on to what they look at
+	b.s.deactivateAfter = 1e6 * sec // tests hold on to what they look at
 	if len(entries) == 0 {
 		entries = []Entry{{Endpoint: 11, Destination: 1}}
 	}
-	b.step(Listed{Whole: true, Entries: entries})
+	b.step(ListUpdate{Whole: true, Entries: entries})
 	return b
 }
 
@@ -74,7 +74,7 @@
 	var out []Action
 	for end := b.now + d; b.now < end; {
 		b.now += 5 * ms
-		out = append(out, b.step(Woke{})...)
+		out = append(out, b.step(WakeUp{})...)
 	}
 	return out
 }
@@ -108,24 +108,24 @@
 	var pending []due
 	tries := map[MessageID]int{}
 	for _, m := range b.s.held {
-		tries[m.id] = m.tries
+		tries[m.id] = m.attemptCount
 	}
 	var before []attemptKey // out since before the run
 	for key := range b.s.attempts {
 		before = append(before, key)
 	}
 	slices.SortFunc(before, func(x, y attemptKey) int {
-		return cmp.Or(cmp.Compare(x.id, y.id), cmp.Compare(x.num, y.num))
+		return cmp.Or(cmp.Compare(x.id, y.id), cmp.Compare(x.number, y.number))
 	})
 	for _, key := range before {
-		ep := b.s.attempts[key].call.ep.id
+		ep := b.s.attempts[key].call.endpoint.id
 		r := script(ep)
-		pending = append(pending, due{b.now + r.after, Ended{ID: key.id, Attempt: key.num, Endpoint: ep,
-			Outcome: r.o, Elapsed: r.after, Over: r.o == OK, Wait: r.wait, NoPlace: r.noPlace}})
+		pending = append(pending, due{b.now + r.after, AttemptEnded{ID: key.id, Attempt: key.number, Endpoint: ep,
+			Outcome: r.o, Elapsed: r.after, Finished: r.o == OK, RetryAfter: r.wait, ConnectionLimitReached: r.noPlace}})
 	}
 	for end := b.now + d; b.now < end; {
 		b.now += 5 * ms
-		events := []Event{Woke{}}
+		events := []Event{WakeUp{}}
 		rest := pending[:0:0]
 		for _, p := range pending {
 			if p.at <= b.now {
@@ -142,14 +142,14 @@
 				if a.Timeout > 0 && r.after > a.Timeout {
 					r.o, r.after = TimedOut, a.Timeout
 				}
-				pending = append(pending, due{b.now + r.after, Ended{ID: a.ID, Attempt: tries[a.ID], Endpoint: a.Endpoint,
-					Outcome: r.o, Elapsed: r.after, Over: r.o == OK, Wait: r.wait, NoPlace: r.noPlace}})
+				pending = append(pending, due{b.now + r.after, AttemptEnded{ID: a.ID, Attempt: tries[a.ID], Endpoint: a.Endpoint,
+					Outcome: r.o, Elapsed: r.after, Finished: r.o == OK, RetryAfter: r.wait, ConnectionLimitReached: r.noPlace}})
 				tries[a.ID]++
 				arrived = append(arrived, b.now)
 			case Cancel:
 				for i, p := range pending {
-					if e, ok := p.e.(Ended); ok && e.ID == a.ID && e.Attempt == a.Attempt {
-						e.Outcome, e.Over = Cancelled, false
+					if e, ok := p.e.(AttemptEnded); ok && e.ID == a.ID && e.Attempt == a.Attempt {
+						e.Outcome, e.Finished = Cancelled, false
 						pending[i] = due{b.now + 5*ms, e}
 					}
 				}
@@ -164,8 +164,8 @@
 	return func(EndpointID) reply { return reply{o: o, after: after} }
 }
 
-func (b *bench) end(id MessageID, attempt int, ep EndpointID, o Outcome, change ...func(*Ended)) []Action {
-	e := Ended{ID: id, Attempt: attempt, Endpoint: ep, Outcome: o, Elapsed: 100 * ms, Over: o == OK}
+func (b *bench) end(id MessageID, attempt int, ep EndpointID, o Outcome, change ...func(*AttemptEnded)) []Action {
+	e := AttemptEnded{ID: id, Attempt: attempt, Endpoint: ep, Outcome: o, Elapsed: 100 * ms, Finished: o == OK}
 	for _, f := range change {
 		f(&e)
 	}
@@ -187,12 +187,12 @@
 
 // made is a call of the class that left at a time.
 func (b *bench) made(ep EndpointID, class int, sent time.Duration) *call {
-	return &call{ep: b.s.endpoint(ep), sent: sent, attempts: []*attempt{{msg: &message{classNo: class}}}}
+	return &call{endpoint: b.s.endpoint(ep), sentAt: sent, attempts: []*attempt{{message: &message{classIndex: class}}}}
 }
 
 // answered lets the sender learn of a call of the class that was answered after so long.
 func (b *bench) answered(ep EndpointID, class int, took time.Duration) {
-	b.s.succeeded(b.made(ep, class, b.s.now-took), max(took, 100*ms))
+	b.s.onSuccess(b.made(ep, class, b.s.now-took), max(took, 100*ms))
 }
 
 func pick[T Action](actions []Action) []T {
--- a/rules/memory_bench_test.go
+++ b/rules/memory_bench_test.go
@@ -16,8 +16,8 @@
 	return float64(m.HeapAlloc)
 }
 
-func whole(n int) Listed {
-	l := Listed{Whole: true, Entries: make([]Entry, n)}
+func whole(n int) ListUpdate {
+	l := ListUpdate{Whole: true, Entries: make([]Entry, n)}
 	for i := range l.Entries {
 		l.Entries[i] = Entry{Endpoint: EndpointID(i + 1), Destination: i, Kind: i % 2, Zone: i % 7, ListedRate: 1 + float64(i%50)}
 	}
@@ -47,7 +47,7 @@
 			id := MessageID(fmt.Sprint("u", u))
 			longest = max(longest, timed(func() { s.Step(now, []Event{Arrived{ID: id, Destination: u * 10, Class: safe, TimeLeft: 16 * sec}}) }))
 			elapsed := 5*ms + time.Duration(u%977)*3191
-			s.Step(now+elapsed, []Event{Ended{ID: id, Endpoint: EndpointID(u*10 + 1), Outcome: OK, Elapsed: elapsed, Over: true}})
+			s.Step(now+elapsed, []Event{AttemptEnded{ID: id, Endpoint: EndpointID(u*10 + 1), Outcome: OK, Elapsed: elapsed, Finished: true}})
 		}
 		if len(s.held) > 0 {
 			b.Errorf("%d messages still held", len(s.held))
@@ -69,11 +69,11 @@
 	s.Step(now, []Event{whole(210_000)})
 	id := MessageID("m")
 	s.Step(now, []Event{Arrived{ID: id, Destination: 7, Class: safe, TimeLeft: 16 * sec}})
-	s.Step(now+7*ms, []Event{Ended{ID: id, Endpoint: 8, Outcome: OK, Elapsed: 7 * ms, Over: true}})
+	s.Step(now+7*ms, []Event{AttemptEnded{ID: id, Endpoint: 8, Outcome: OK, Elapsed: 7 * ms, Finished: true}})
 	for b.Loop() {
-		if !s.rest(s.destination(7)) {
+		if !s.deactivate(s.destination(7)) {
 			b.Fatal("it does not rest")
 		}
 	}
-	b.ReportMetric(float64(len(s.packed)), "B/state")
+	b.ReportMetric(float64(len(s.packBuffer)), "B/state")
 }
--- a/rules/observe.go
+++ b/rules/observe.go
@@ -12,7 +12,7 @@
 const (
 	Healthy   State = State(healthy)
 	Probation State = State(probation) // sparse probes only
-	SlowStart State = State(ramping)   // back from an outage, and cold
+	SlowStart State = State(slowStart) // back from an outage, and cold
 )
 
 func (s State) String() string {
@@ -24,27 +24,27 @@
 
 // The causes.
 const (
-	CauseFailures  Cause = "failures"   // calls failed in a row
-	CauseSilence   Cause = "silence"    // calls are out and nothing is answered
-	CauseRefusals  Cause = "refusals"   // refusals that no limit explains
-	CauseToldShut  Cause = "told shut"  // a told wait longer than a limit's
-	CauseAnswered  Cause = "answered"   // a probe was answered
-	CauseShortLoss Cause = "short loss" // a probe was answered before anything can have gone cold
-	CauseInherited Cause = "inherited"  // its destination's other endpoints are in that state
-	CauseRestored  Cause = "restored"   // an earlier process had seen calls fail
-	CauseWarm      Cause = "warm"       // the warm-up is over
+	CauseFailures     Cause = "failures"   // calls failed in a row
+	CauseUnresponsive Cause = "silence"    // calls are out and nothing is answered
+	CauseRefusals     Cause = "refusals"   // refusals that no limit explains
+	CauseRetryAfter   Cause = "told shut"  // a told wait longer than a limit's
+	CauseAnswered     Cause = "answered"   // a probe was answered
+	CauseBriefOutage  Cause = "short loss" // a probe was answered before anything can have gone cold
+	CauseInherited    Cause = "inherited"  // its destination's other endpoints are in that state
+	CauseRestored     Cause = "restored"   // an earlier process had seen calls fail
+	CauseWarm         Cause = "warm"       // the warm-up is over
 )
 
 // Transition is a change of an endpoint's state.
 type Transition struct {
-	At       time.Duration
-	Endpoint EndpointID
-	From, To State
-	Cause    Cause
-	Failures int           // in a row
-	Failing  time.Duration // since when, by what this sender saw
-	Rate     float64       // calls a second delivered there before the outage
-	Gap      time.Duration // to the next call that its share of the slow start budget allows
+	At                  time.Duration
+	Endpoint            EndpointID
+	From, To            State
+	Cause               Cause
+	ConsecutiveFailures int           // in a row
+	FailingSince        time.Duration // since when, by what this sender saw
+	PreOutageRate       float64       // calls a second delivered there before the outage
+	CallInterval        time.Duration // to the next call that its share of the slow start budget allows
 }
 
 // EndReason says why a message ended undelivered.
@@ -52,18 +52,18 @@
 
 // The reasons.
 const (
-	EndDeadline EndReason = "deadline"  // its time is up
-	EndAttempts EndReason = "attempts"  // no attempt is left
-	EndRepeat   EndReason = "no_repeat" // it may have run, and may not be repeated any more
-	EndShed     EndReason = "shed"      // it could not be sent before its deadline
-	EndEvicted  EndReason = "evicted"   // its room was needed
+	EndDeadline      EndReason = "deadline"  // its time is up
+	EndAttempts      EndReason = "attempts"  // no attempt is left
+	EndNotRepeatable EndReason = "no_repeat" // it may have run, and may not be repeated any more
+	EndShed          EndReason = "shed"      // it could not be sent before its deadline
+	EndEvicted       EndReason = "evicted"   // its room was needed
 )
 
 // EndReasons lists all.
-var EndReasons = []EndReason{EndDeadline, EndAttempts, EndRepeat, EndShed, EndEvicted}
+var EndReasons = []EndReason{EndDeadline, EndAttempts, EndNotRepeatable, EndShed, EndEvicted}
 
 // End is a message that the sender ended undelivered.
-type End struct {
+type Undelivered struct {
 	ID     MessageID
 	Reason EndReason
 }
@@ -71,12 +71,12 @@
 // Observations are what a sender has to tell since it was last asked.
 type Observations struct {
 	Transitions []Transition
-	Ends        []End
+	Undelivered []Undelivered
 	Deferred    int // looks at an endpoint that slow start, probation or a pause after a failure kept from a waiting message
 }
 
 // mostObservations bounds what is kept for nobody.
-const mostObservations = 4096
+const maxObservations = 4096
 
 // Observe returns what has been noted since the last call, and forgets it.
 func (s *Sender) Observe() Observations {
@@ -86,22 +86,22 @@
 }
 
 // setHealth changes an endpoint's state and notes it.
-func (s *Sender) setHealth(ep *endpoint, to health, since time.Duration, cause Cause) {
+func (s *Sender) setHealth(ep *endpointState, to health, since time.Duration, cause Cause) {
 	from := ep.health
-	ep.health, ep.since = to, since
-	if from == to || len(s.observations.Transitions) >= mostObservations {
+	ep.health, ep.healthSince = to, since
+	if from == to || len(s.observations.Transitions) >= maxObservations {
 		return
 	}
-	t := Transition{At: s.now, Endpoint: ep.id, From: State(from), To: State(to), Cause: cause, Failures: ep.fails, Failing: ep.failing, Rate: ep.base}
+	t := Transition{At: s.now, Endpoint: ep.id, From: State(from), To: State(to), Cause: cause, ConsecutiveFailures: ep.consecutiveFailures, FailingSince: ep.failingSince, PreOutageRate: ep.preOutageRate}
 	if to != healthy {
-		t.Gap = s.gap(ep)
+		t.CallInterval = s.callInterval(ep)
 	}
 	s.observations.Transitions = append(s.observations.Transitions, t)
 }
 
 // noteEnd notes why a message ends.
-func (s *Sender) noteEnd(m *message, why EndReason) {
-	if len(s.observations.Ends) < mostObservations {
-		s.observations.Ends = append(s.observations.Ends, End{m.id, why})
+func (s *Sender) recordEnd(m *message, why EndReason) {
+	if len(s.observations.Undelivered) < maxObservations {
+		s.observations.Undelivered = append(s.observations.Undelivered, Undelivered{m.id, why})
 	}
 }
--- a/rules/observe_test.go
+++ b/rules/observe_test.go
@@ -10,16 +10,16 @@
 func TestWhatASenderTells(t *testing.T) {
 	b := newBench(t, nil)
 	b.serve(3, safe, 11)
-	if o := b.s.Observe(); len(o.Transitions)+len(o.Ends)+o.Deferred > 0 {
+	if o := b.s.Observe(); len(o.Transitions)+len(o.Undelivered)+o.Deferred > 0 {
 		t.Fatalf("told of a healthy endpoint: %+v", o)
 	}
 	ep := b.s.endpoint(11)
-	ep.failing = b.now - 5*sec
-	b.s.suspend(ep, Reset, CauseFailures)
-	ep.lane.pace.haltUntil = b.now + 20*sec // else the message is the probe
+	ep.failingSince = b.now - 5*sec
+	b.s.startProbation(ep, Reset, CauseFailures)
+	ep.limitScope.controller.notBefore = b.now + 20*sec // else the message is the probe
 	late, _ := b.take(once)
 	b.wait(30 * sec)
-	ep.base = 20
+	ep.preOutageRate = 20
 	b.answered(11, safe, 0)
 	b.wait(11 * sec)
 	b.answered(11, safe, 0)
@@ -36,13 +36,13 @@
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("transitions:\n%s", diff)
 	}
-	if diff := cmp.Diff([]End{{late, EndShed}}, o.Ends); diff != "" {
+	if diff := cmp.Diff([]Undelivered{{late, EndShed}}, o.Undelivered); diff != "" {
 		t.Errorf("ends:\n%s", diff)
 	}
 	if o.Deferred == 0 {
 		t.Error("nothing was deferred while a message waited for a probe")
 	}
-	if o = b.s.Observe(); len(o.Transitions)+len(o.Ends)+o.Deferred > 0 {
+	if o = b.s.Observe(); len(o.Transitions)+len(o.Undelivered)+o.Deferred > 0 {
 		t.Errorf("told twice: %+v", o)
 	}
 }
--- a/rules/pack.go
+++ b/rules/pack.go
@@ -12,224 +12,224 @@
 // packer writes values, or reads them back in the same order. Most are zero, or a time or number that came before: runs of zeros and
 // what was seen cost a byte, times what they differ by from the one before. What is missing at the end is zeros.
 type packer struct {
-	text  []byte
-	back  bool     // it reads
-	zeros int      // before the next value
-	seen  []uint64 // other values, in the order first seen
-	last  int64    // time among them
-	prev  float64  // number among them
+	data       []byte
+	reading    bool     // it reads
+	zeroRun    int      // before the next value
+	seen       []uint64 // other values, in the order first seen
+	lastTime   int64    // time among them
+	lastNumber float64  // number among them
 }
 
 // What a byte says: up to mostZeros it is one less than a run of zeros, from isSeen on a place among the seen.
 const (
-	mostZeros = 127
-	isTime    = 128 + iota // a varint follows: by how much it is after the last
-	isCount                // a varint follows
-	isNumber               // 8 bytes follow
-	isSeconds              // a varint follows: nanoseconds
-	isHalf                 // of the number before
-	isSeen
+	maxZeroRun  = 127
+	codeTime    = 128 + iota // a varint follows: by how much it is after the last
+	codeCount                // a varint follows
+	codeNumber               // 8 bytes follow
+	codeSeconds              // a varint follows: nanoseconds
+	codeHalf                 // of the number before
+	codeSeen
 )
 
 func newPacker(text []byte, back bool) *packer {
-	return &packer{text: text, back: back, seen: append(make([]uint64, 0, 32), 1, math.Float64bits(1))}
+	return &packer{data: text, reading: back, seen: append(make([]uint64, 0, 32), 1, math.Float64bits(1))}
 }
 
-func (p *packer) time(x *time.Duration) { *x = time.Duration(p.value(uint64(*x), isTime)) }
+func (p *packer) time(x *time.Duration) { *x = time.Duration(p.value(uint64(*x), codeTime)) }
 func (p *packer) number(x *float64) {
-	*x = math.Float64frombits(p.value(math.Float64bits(*x), isNumber))
+	*x = math.Float64frombits(p.value(math.Float64bits(*x), codeNumber))
 }
-func count[T ~int | ~uint32](p *packer, x *T) { *x = T(p.value(uint64(*x), isCount)) }
+func packCount[T ~int | ~uint32](p *packer, x *T) { *x = T(p.value(uint64(*x), codeCount)) }
 
 func (p *packer) flag(x *bool) {
 	n := 0
 	if *x {
 		n = 1
 	}
-	count(p, &n)
+	packCount(p, &n)
 	*x = n != 0
 }
 
 // value writes a value that is not known to be of a shorter form, or reads the next.
 func (p *packer) value(v uint64, form byte) uint64 {
 	switch {
-	case p.back:
+	case p.reading:
 		return p.read()
 	case v == 0:
-		p.zeros++
+		p.zeroRun++
 		return v
 	}
-	for ; p.zeros > 0; p.zeros -= min(p.zeros, mostZeros+1) {
-		p.text = append(p.text, byte(min(p.zeros, mostZeros+1)-1))
+	for ; p.zeroRun > 0; p.zeroRun -= min(p.zeroRun, maxZeroRun+1) {
+		p.data = append(p.data, byte(min(p.zeroRun, maxZeroRun+1)-1))
 	}
 	if i := slices.Index(p.seen, v); i >= 0 {
-		p.text = append(p.text, byte(isSeen+i))
+		p.data = append(p.data, byte(codeSeen+i))
 		return v
 	}
-	if form == isNumber {
+	if form == codeNumber {
 		f := math.Float64frombits(v)
 		ns := time.Duration(min(max(math.Round(f*1e9), -1e15), 1e15)) // NaN comes to something that is not it
 		switch v {
-		case math.Float64bits(p.prev / 2):
-			form = isHalf
+		case math.Float64bits(p.lastNumber / 2):
+			form = codeHalf
 		case math.Float64bits(ns.Seconds()):
-			form = isSeconds
-			p.text = binary.AppendVarint(append(p.text, form), int64(ns))
+			form = codeSeconds
+			p.data = binary.AppendVarint(append(p.data, form), int64(ns))
 		default:
-			p.text = binary.LittleEndian.AppendUint64(append(p.text, form), v)
+			p.data = binary.LittleEndian.AppendUint64(append(p.data, form), v)
 		}
 	}
 	switch form {
-	case isTime:
-		p.text = binary.AppendVarint(append(p.text, form), int64(v)-p.last)
-	case isCount:
-		p.text = binary.AppendVarint(append(p.text, form), int64(v))
-	case isHalf:
-		p.text = append(p.text, form)
-	}
-	p.learn(v, form)
+	case codeTime:
+		p.data = binary.AppendVarint(append(p.data, form), int64(v)-p.lastTime)
+	case codeCount:
+		p.data = binary.AppendVarint(append(p.data, form), int64(v))
+	case codeHalf:
+		p.data = append(p.data, form)
+	}
+	p.remember(v, form)
 	return v
 }
 
 func (p *packer) read() uint64 {
-	if p.zeros > 0 || len(p.text) == 0 {
-		p.zeros = max(p.zeros-1, 0)
+	if p.zeroRun > 0 || len(p.data) == 0 {
+		p.zeroRun = max(p.zeroRun-1, 0)
 		return 0
 	}
-	form := p.text[0]
-	p.text = p.text[1:]
+	form := p.data[0]
+	p.data = p.data[1:]
 	var v uint64
 	switch {
-	case form <= mostZeros:
-		p.zeros = int(form)
+	case form <= maxZeroRun:
+		p.zeroRun = int(form)
 		return 0
-	case form >= isSeen:
-		return p.seen[form-isSeen]
-	case form == isTime:
-		v = uint64(p.varint() + p.last)
-	case form == isCount:
+	case form >= codeSeen:
+		return p.seen[form-codeSeen]
+	case form == codeTime:
+		v = uint64(p.varint() + p.lastTime)
+	case form == codeCount:
 		v = uint64(p.varint())
-	case form == isNumber:
-		v = binary.LittleEndian.Uint64(p.text)
-		p.text = p.text[8:]
-	case form == isSeconds:
+	case form == codeNumber:
+		v = binary.LittleEndian.Uint64(p.data)
+		p.data = p.data[8:]
+	case form == codeSeconds:
 		v = math.Float64bits(time.Duration(p.varint()).Seconds())
-	case form == isHalf:
-		v = math.Float64bits(p.prev / 2)
+	case form == codeHalf:
+		v = math.Float64bits(p.lastNumber / 2)
 	}
-	p.learn(v, form)
+	p.remember(v, form)
 	return v
 }
 
 func (p *packer) varint() int64 {
-	x, n := binary.Varint(p.text)
-	p.text = p.text[n:]
+	x, n := binary.Varint(p.data)
+	p.data = p.data[n:]
 	return x
 }
 
-func (p *packer) learn(v uint64, form byte) {
-	if len(p.seen) <= math.MaxUint8-isSeen {
+func (p *packer) remember(v uint64, form byte) {
+	if len(p.seen) <= math.MaxUint8-codeSeen {
 		p.seen = append(p.seen, v)
 	}
 	switch form {
-	case isTime:
-		p.last = int64(v)
-	case isNumber, isSeconds, isHalf:
-		p.prev = math.Float64frombits(v)
+	case codeTime:
+		p.lastTime = int64(v)
+	case codeNumber, codeSeconds, codeHalf:
+		p.lastNumber = math.Float64frombits(v)
 	}
 }
 
 // destination is all that is known of one, but for what the list says and what is held or out.
-func (p *packer) destination(d *destination) {
+func (p *packer) destination(d *destinationState) {
 	first := d.endpoints[0]
-	p.destSeq(&d.seq, first.seq)
-	p.time(&d.retryAt)
-	p.meter(&d.wanted)
-	p.meter(&d.served)
+	p.destinationSeq(&d.seq, first.seq)
+	p.time(&d.retryNotBefore)
+	p.decayingRate(&d.arrivalRate)
+	p.decayingRate(&d.servedRate)
 	for i, ep := range d.endpoints {
-		if i == 0 || ep.lane != first.lane {
-			p.lane(ep.lane)
+		if i == 0 || ep.limitScope != first.limitScope {
+			p.limitScope(ep.limitScope)
 		}
 		p.endpoint(ep)
 	}
 }
 
 // destSeq is the place of a destination among all, mostly that of its first endpoint.
-func (p *packer) destSeq(seq *uint32, first uint32) {
+func (p *packer) destinationSeq(seq *uint32, first uint32) {
 	*seq -= first
-	count(p, seq)
+	packCount(p, seq)
 	*seq += first
 }
 
-func (p *packer) lane(l *lane) {
-	p.pace(&l.pace)
-	count(p, &l.refusals)
-	p.time(&l.refusedAt)
-	p.number(&l.reported)
-	p.time(&l.servedAt)
+func (p *packer) limitScope(l *limitScope) {
+	p.rateController(&l.controller)
+	packCount(p, &l.consecutiveRefusals)
+	p.time(&l.firstRefusedAt)
+	p.number(&l.reportedLimit)
+	p.time(&l.lastAnsweredAt)
 }
 
-func (p *packer) pace(x *pace) {
-	p.meter(&x.sent)
-	p.meter(&x.refused)
+func (p *packer) rateController(x *rateController) {
+	p.decayingRate(&x.sentRate)
+	p.decayingRate(&x.refusedRate)
 	p.number(&x.rate)
-	p.number(&x.step)
-	for _, t := range []*time.Duration{&x.lastCut, &x.lastChange, &x.lastRefusal, &x.lastWaited, &x.next, &x.haltUntil} {
+	p.number(&x.increase)
+	for _, t := range []*time.Duration{&x.lastDecrease, &x.lastChange, &x.lastRefusal, &x.lastLimited, &x.nextSend, &x.notBefore} {
 		p.time(t)
 	}
 }
 
-func (p *packer) endpoint(ep *endpoint) {
-	p.meter(&ep.delivered)
-	p.time(&ep.lastAnswer)
-	p.time(&ep.answeredFrom)
-	p.time(&ep.charged)
-	p.time(&ep.probeGap)
-	p.time(&ep.credit)
-	p.time(&ep.lastUse)
-	count(p, &ep.peak)
+func (p *packer) endpoint(ep *endpointState) {
+	p.decayingRate(&ep.deliveredRate)
+	p.time(&ep.lastAnsweredAt)
+	p.time(&ep.lastAnsweredSentAt)
+	p.time(&ep.lastCharged)
+	p.time(&ep.probeInterval)
+	p.time(&ep.warmUpCredit)
+	p.time(&ep.lastUsed)
+	packCount(p, &ep.peakCalls)
 	p.timing(&ep.timing)
-	count(p, &ep.health)
-	count(p, &ep.symptom)
-	count(p, &ep.fails)
-	count(p, &ep.connectRefusals)
-	for _, t := range []*time.Duration{&ep.since, &ep.failing, &ep.failedAt, &ep.renewed, &ep.connectNotBefore} {
+	packCount(p, &ep.health)
+	packCount(p, &ep.symptom)
+	packCount(p, &ep.consecutiveFailures)
+	packCount(p, &ep.connectRefusals)
+	for _, t := range []*time.Duration{&ep.healthSince, &ep.failingSince, &ep.lastFailedSentAt, &ep.connectionsRenewedAt, &ep.connectNotBefore} {
 		p.time(t)
 	}
-	p.number(&ep.base)
-	p.services(ep)
+	p.number(&ep.preOutageRate)
+	p.classes(ep)
 }
 
 // services is those that something is known of, and a zero after them.
-func (p *packer) services(ep *endpoint) {
-	if p.back {
-		for v := new(service); p.service(v); v = new(service) {
-			v.next, ep.services = ep.services, v
+func (p *packer) classes(ep *endpointState) {
+	if p.reading {
+		for v := new(classHealth); p.classHealth(v); v = new(classHealth) {
+			v.next, ep.classes = ep.classes, v
 		}
 		return
 	}
-	for v := ep.services; v != nil; v = v.next {
-		if *v != (service{class: v.class, next: v.next}) {
-			p.service(v)
+	for v := ep.classes; v != nil; v = v.next {
+		if *v != (classHealth{class: v.class, next: v.next}) {
+			p.classHealth(v)
 		}
 	}
-	p.service(nil)
+	p.classHealth(nil)
 }
 
 // service is false at the end.
-func (p *packer) service(v *service) bool {
+func (p *packer) classHealth(v *classHealth) bool {
 	no := 0
 	if v != nil {
 		no = v.class + 1
 	}
-	if count(p, &no); no == 0 {
+	if packCount(p, &no); no == 0 {
 		return false
 	}
 	v.class = no - 1
 	p.timing(&v.timing)
-	p.meter(&v.told)
-	count(p, &v.ill)
-	p.time(&v.retryAt)
+	p.decayingRate(&v.hints)
+	packCount(p, &v.consecutiveFailures)
+	p.time(&v.openUntil)
 	return true
 }
 
@@ -239,7 +239,7 @@
 	p.number(&t.spread)
 }
 
-func (p *packer) meter(m *meter) {
+func (p *packer) decayingRate(m *decayingRate) {
 	p.number(&m.sum)
 	p.time(&m.last)
 }
--- a/rules/random_test.go
+++ b/rules/random_test.go
@@ -30,10 +30,10 @@
 func newFleet(seed uint64, destinations int) *fleet {
 	f := &fleet{rng: rand.New(rand.NewPCG(seed, 1)), set: testSettings(), mood: map[EndpointID]int{}}
 	if seed%2 == 0 {
-		f.set.Senders, f.set.MayTell = 40, true
+		f.set.Senders, f.set.MayShareHints = 40, true
 	}
 	f.set.Slots, f.set.MaxHeld = 60, 500
-	f.set.RatesListed, f.set.AskRegistry, f.set.AskEvery = seed%3 == 0, seed%5 == 0, 4*sec
+	f.set.RatesListed, f.set.WatchesRegistry, f.set.WatchInterval = seed%3 == 0, seed%5 == 0, 4*sec
 	f.now = time.Duration(seed%4) * 50 * sec
 	for d := range destinations {
 		for range 1 + f.rng.IntN(4)*f.rng.IntN(2) {
@@ -104,13 +104,13 @@
 			a.OrderKey = fmt.Sprint("k", f.rng.IntN(20))
 		}
 		if f.rng.IntN(10) == 0 {
-			a.Before = Before{Attempts: f.rng.IntN(4), Failed: f.rng.IntN(5), MayRun: f.rng.IntN(2) == 0, Ago: time.Duration(f.rng.IntN(5)) * sec, At: f.any()}
+			a.Prior = PriorAttempts{Count: f.rng.IntN(4), Failed: f.rng.IntN(5), MayHaveRun: f.rng.IntN(2) == 0, Age: time.Duration(f.rng.IntN(5)) * sec, Endpoint: f.any()}
 		}
 		out = append(out, a)
 	}
 	switch f.rng.IntN(300) {
 	case 0, 1, 2, 3, 4, 5:
-		var l Listed
+		var l ListUpdate
 		for range 1 + f.rng.IntN(4) {
 			l.Entries = append(l.Entries, f.change()...)
 		}
@@ -119,7 +119,7 @@
 		for range f.rng.IntN(8) {
 			f.change()
 		}
-		l := Listed{Whole: true, Entries: append([]Entry{}, f.list...)}
+		l := ListUpdate{Whole: true, Entries: append([]Entry{}, f.list...)}
 		if f.rng.IntN(3) == 0 { // in another order
 			f.rng.Shuffle(len(l.Entries), func(i, j int) { l.Entries[i], l.Entries[j] = l.Entries[j], l.Entries[i] })
 		}
@@ -130,21 +130,21 @@
 		}
 		out = append(out, l)
 	case 7, 8, 9:
-		out = append(out, Told{Note{Endpoint: f.any(), Class: f.rng.IntN(6)}})
+		out = append(out, HintReceived{Hint{Endpoint: f.any(), Class: f.rng.IntN(6)}})
 	case 10:
-		out = append(out, Told{Note{Endpoint: f.any(), Wait: time.Duration(f.rng.IntN(30)) * sec}})
+		out = append(out, HintReceived{Hint{Endpoint: f.any(), RetryAfter: time.Duration(f.rng.IntN(30)) * sec}})
 	case 11:
-		out = append(out, ListFailed{})
+		out = append(out, DiscoveryFailed{})
 	case 12:
 		out = append(out, Withdrawn{MessageID(fmt.Sprint("m", f.n-f.rng.IntN(5)))})
 	case 13:
-		out = append(out, Ended{ID: "nobody's", Endpoint: f.any(), Outcome: Full, Wait: time.Duration(f.rng.IntN(8)) * sec})
+		out = append(out, AttemptEnded{ID: "nobody's", Endpoint: f.any(), Outcome: Refused, RetryAfter: time.Duration(f.rng.IntN(8)) * sec})
 	case 14, 15, 16, 17:
 		f.mood[f.any()] = f.rng.IntN(7)
 	case 18, 19, 20, 21, 22, 23, 24, 25:
 		clear(f.mood)
 	}
-	return append(out, Woke{})
+	return append(out, WakeUp{})
 }
 
 func (f *fleet) any() EndpointID { return f.list[f.rng.IntN(len(f.list))].Endpoint }
@@ -154,13 +154,13 @@
 	for _, a := range actions {
 		f.log = append(f.log, fmt.Sprintf("%v %T%+v", f.now, a, a))
 		if c, ok := a.(Cancel); ok {
-			f.due = append(f.due, arrival{f.now, Ended{ID: c.ID, Attempt: c.Attempt, Outcome: Cancelled}})
+			f.due = append(f.due, arrival{f.now, AttemptEnded{ID: c.ID, Attempt: c.Attempt, Outcome: Cancelled}})
 		}
 		send, ok := a.(Send)
 		if !ok {
 			continue
 		}
-		e := Ended{ID: send.ID, Attempt: tries[send.ID], Endpoint: send.Endpoint, Elapsed: time.Duration(5+f.rng.IntN(300)) * ms}
+		e := AttemptEnded{ID: send.ID, Attempt: tries[send.ID], Endpoint: send.Endpoint, Elapsed: time.Duration(5+f.rng.IntN(300)) * ms}
 		tries[send.ID]++
 		switch f.mood[send.Endpoint] {
 		case 1:
@@ -170,15 +170,15 @@
 		case 3:
 			e.Outcome, e.Elapsed = ConnectError, time.Duration(1+f.rng.IntN(900))*ms
 		case 4:
-			e.Outcome, e.Wait = Full, time.Duration(f.rng.IntN(5))*sec
+			e.Outcome, e.RetryAfter = Refused, time.Duration(f.rng.IntN(5))*sec
 		case 5:
-			e.Outcome = Full
+			e.Outcome = Refused
 		case 6:
-			e.Outcome, e.NoPlace = ConnectError, true
+			e.Outcome, e.ConnectionLimitReached = ConnectError, true
 		}
-		e.Over = e.Outcome == OK
+		e.Finished = e.Outcome == OK
 		if f.rng.IntN(10) == 0 {
-			e.Report = Report{Left: 0.5, Limit: float64(1 + f.rng.IntN(20))}
+			e.Report = Report{Remaining: 0.5, Limit: float64(1 + f.rng.IntN(20))}
 		}
 		f.due = append(f.due, arrival{f.now + e.Elapsed, e})
 	}
--- a/rules/record.go
+++ b/rules/record.go
@@ -14,72 +14,72 @@
 // comes awake is, to the last bit, what went to rest.
 
 const (
-	restAfter = 5 * time.Second // a destination is looked at this long after it woke, and again as often until it rests
-	restMost  = 64              // as many in one step, so that none takes long
+	deactivateAfter  = 5 * time.Second // a destination is looked at this long after it woke, and again as often until it rests
+	maxDeactivations = 64              // as many in one step, so that none takes long
 )
 
 // record is one endpoint of a destination at rest.
 type record struct {
-	id    EndpointID
-	seq   uint32
-	dest  int32
-	next  uint32 // the destination's next endpoint, in the order first heard of; after the last comes the first
-	state uint32 // of the destination, among the states, at its last endpoint; 0 for none
-	zone  uint16
-	kind  uint8
-	marks mark
-	rate  float64
+	id          EndpointID
+	seq         uint32
+	destination int32
+	next        uint32 // the destination's next endpoint, in the order first heard of; after the last comes the first
+	state       uint32 // of the destination, among the states, at its last endpoint; 0 for none
+	zone        uint16
+	kind        uint8
+	flags       recordFlags
+	listedRate  float64
 }
 
-type mark uint8
+type recordFlags uint8
 
 const (
-	used    mark = 1 << iota // else the record is free
-	listed                   // and not draining
-	missing                  // from the whole list that is just taken in
-	absent                   // gone from the list; only the one endpoint of a destination is, as it stays until another comes
+	flagUsed      recordFlags = 1 << iota // else the record is free
+	flagInService                         // and not draining
+	flagMissing                           // from the whole list that is just taken in
+	flagGone                              // gone from the list; only the one endpoint of a destination is, as it stays until another comes
 )
 
 // atRest is the part of a sender that keeps what rests, and what is to.
-type atRest struct {
-	roster    *roster
-	awake     []wakeful     // the first to be looked at first
-	restAfter time.Duration // how soon a destination is looked at after it woke
-	packed    []byte        // reused by rest
-	missed    []departure   // of those that were at rest, in the whole list that is just taken in
-	leaves    int           // of endpoints from the list so far
-	absent    map[EndpointID]absence
+type dormantState struct {
+	records           *recordTable
+	active            []activeDestination // the first to be looked at first
+	deactivateAfter   time.Duration       // how soon a destination is looked at after it woke
+	packBuffer        []byte              // reused by rest
+	missingDepartures []departure         // of those that were at rest, in the whole list that is just taken in
+	departureCount    int                 // of endpoints from the list so far
+	absences          map[EndpointID]absence
 }
 
 // absence is when the list lost an endpoint at rest, and the number of that among all.
 type absence struct {
-	at time.Duration
-	no int
+	at              time.Duration
+	departureNumber int
 }
 
 // roster is all records, with the ways to find them.
-type roster struct {
+type recordTable struct {
 	list   []record
 	free   []uint32
-	states states
+	states packedStates
 	byID   *index.Index[EndpointID]
 	byDest *index.Index[int32] // the last endpoint of each
 }
 
-func newRoster() *roster {
-	r := &roster{}
+func newRecordTable() *recordTable {
+	r := &recordTable{}
 	r.byID = index.New(func(at uint32) EndpointID { return r.list[at].id })
-	r.byDest = index.New(func(at uint32) int32 { return r.list[at].dest })
+	r.byDest = index.New(func(at uint32) int32 { return r.list[at].destination })
 	return r
 }
 
 // fits tells whether an endpoint has a place in a record. What has none stays awake.
-func fits(dest, kind, zone int) bool {
+func fitsRecord(dest, kind, zone int) bool {
 	return int(int32(dest)) == dest && int(uint8(kind)) == kind && int(uint16(zone)) == zone
 }
 
 // reserve makes room for so many records.
-func (r *roster) reserve(n int) {
+func (r *recordTable) reserve(n int) {
 	if n -= len(r.list); n > 0 {
 		r.list = slices.Grow(r.list, n)
 		r.byID.Reserve(n)
@@ -88,15 +88,15 @@
 }
 
 // add appends an endpoint to a destination at rest, which may be new.
-func (r *roster) add(x record) {
+func (r *recordTable) add(x record) {
 	at := uint32(len(r.list))
 	if n := len(r.free); n > 0 {
 		at, r.free = r.free[n-1], r.free[:n-1]
 	} else {
 		r.list = append(r.list, record{})
 	}
-	x.marks, x.next = x.marks|used, at
-	if last, known := r.byDest.Find(x.dest); known {
+	x.flags, x.next = x.flags|flagUsed, at
+	if last, known := r.byDest.Find(x.destination); known {
 		x.next, r.list[last].next = r.list[last].next, at
 	}
 	r.list[at] = x
@@ -105,14 +105,14 @@
 }
 
 // take removes a destination and returns its endpoints in the order first heard of.
-func (r *roster) take(last uint32) []record {
+func (r *recordTable) removeDestination(last uint32) []record {
 	var all []record
-	r.byDest.Remove(r.list[last].dest)
+	r.byDest.Remove(r.list[last].destination)
 	for at := r.list[last].next; ; at = r.list[at].next {
 		all = append(all, r.list[at])
 		r.byID.Remove(r.list[at].id)
 		r.free = append(r.free, at)
-		r.list[at].marks = 0
+		r.list[at].flags = 0
 		if at == last {
 			return all
 		}
@@ -120,11 +120,11 @@
 }
 
 // endpoint returns a listed endpoint, awake, nil for one not known.
-func (s *Sender) endpoint(id EndpointID) *endpoint {
+func (s *Sender) endpoint(id EndpointID) *endpointState {
 	ep := s.endpoints[id]
 	if ep == nil {
-		if at, known := s.roster.byID.Find(id); known {
-			s.wake(s.roster.list[at].dest)
+		if at, known := s.records.byID.Find(id); known {
+			s.activate(s.records.list[at].destination)
 			ep = s.endpoints[id]
 		}
 	}
@@ -132,114 +132,114 @@
 }
 
 // wake makes a destination at rest one with a state, the one that it had, and returns it, nil for one that is not at rest.
-func (s *Sender) wake(dest int32) *destination {
-	last, known := s.roster.byDest.Find(dest)
+func (s *Sender) activate(dest int32) *destinationState {
+	last, known := s.records.byDest.Find(dest)
 	if !known {
 		return nil
 	}
 	d := s.newDestination(int(dest))
-	all := s.roster.take(last)
+	all := s.records.removeDestination(last)
 	for _, r := range all {
-		ep := s.join(d, r.id, r.seq, int(r.kind))
-		ep.zone, ep.rate, ep.listed = int(r.zone), r.rate, r.marks&listed != 0
-		if r.marks&absent != 0 {
-			a := s.absent[ep.id]
-			delete(s.absent, ep.id)
-			ep.gone, ep.goneAt, ep.left = true, a.at, a.no
-			s.gone = slices.Insert(s.gone, s.departed(a.no-1), departure{ep, a.no})
-		} else if r.marks&missing != 0 {
-			s.missed = append(s.missed, s.depart(ep))
+		ep := s.addEndpoint(d, r.id, r.seq, int(r.kind))
+		ep.zone, ep.listedRate, ep.inService = int(r.zone), r.listedRate, r.flags&flagInService != 0
+		if r.flags&flagGone != 0 {
+			a := s.absences[ep.id]
+			delete(s.absences, ep.id)
+			ep.gone, ep.goneAt, ep.departureNumber = true, a.at, a.departureNumber
+			s.departures = slices.Insert(s.departures, s.departureIndex(a.departureNumber-1), departure{ep, a.departureNumber})
+		} else if r.flags&flagMissing != 0 {
+			s.missingDepartures = append(s.missingDepartures, s.markGone(ep))
 		}
 	}
 	d.seq = d.endpoints[0].seq
 	if state := all[len(all)-1].state; state != 0 {
-		newPacker(s.roster.states.get(state), true).destination(d)
-		s.roster.states.drop(state)
+		newPacker(s.records.states.get(state), true).destination(d)
+		s.records.states.drop(state)
 	}
 	return d
 }
 
 // departed is how many of those gone left by a number.
-func (s *Sender) departed(no int) int {
-	i, _ := slices.BinarySearchFunc(s.gone, no+1, func(g departure, no int) int { return cmp.Compare(g.no, no) })
+func (s *Sender) departureIndex(no int) int {
+	i, _ := slices.BinarySearchFunc(s.departures, no+1, func(g departure, no int) int { return cmp.Compare(g.number, no) })
 	return i
 }
 
 // rest lays a destination down, unless something of it is held, out, to be forgotten or cannot be told by a record.
-func (s *Sender) rest(d *destination) bool {
+func (s *Sender) deactivate(d *destinationState) bool {
 	if d.held > 0 || len(d.endpoints) == 0 || d.pinned {
 		return false
 	}
 	for i, ep := range d.endpoints {
 		shared := i == 0 || !s.kind(ep).RoutesApart // what join makes of it
-		if len(ep.calls) > 0 || ep.gone && len(d.endpoints) > 1 || !fits(d.number, ep.kind, ep.zone) || (ep.lane == d.endpoints[0].lane) != shared {
+		if len(ep.calls) > 0 || ep.gone && len(d.endpoints) > 1 || !fitsRecord(d.number, ep.kind, ep.zone) || (ep.limitScope == d.endpoints[0].limitScope) != shared {
 			return false
 		}
 	}
-	p := newPacker(s.packed[:0], false)
+	p := newPacker(s.packBuffer[:0], false)
 	p.destination(d)
-	s.packed = p.text
-	state, room := s.roster.states.put(p.text)
+	s.packBuffer = p.data
+	state, room := s.records.states.put(p.data)
 	if !room {
 		return false
 	}
 	for i, ep := range d.endpoints {
-		r := record{id: ep.id, seq: ep.seq, dest: int32(d.number), zone: uint16(ep.zone), kind: uint8(ep.kind), rate: ep.rate}
-		if ep.listed {
-			r.marks = listed
+		r := record{id: ep.id, seq: ep.seq, destination: int32(d.number), zone: uint16(ep.zone), kind: uint8(ep.kind), listedRate: ep.listedRate}
+		if ep.inService {
+			r.flags = flagInService
 		}
 		if ep.gone {
-			r.marks = absent
-			s.absent[ep.id] = absence{ep.goneAt, ep.left}
-			at := s.departed(ep.left - 1)
-			s.gone = slices.Delete(s.gone, at, at+1)
+			r.flags = flagGone
+			s.absences[ep.id] = absence{ep.goneAt, ep.departureNumber}
+			at := s.departureIndex(ep.departureNumber - 1)
+			s.departures = slices.Delete(s.departures, at, at+1)
 		}
 		if i == len(d.endpoints)-1 {
 			r.state = state
 		}
-		s.roster.add(r)
+		s.records.add(r)
 		delete(s.endpoints, ep.id)
 	}
-	delete(s.dests, d.number)
+	delete(s.destinations, d.number)
 	return true
 }
 
 // restIdle lays down what has come to rest, of what woke long enough ago.
-func (s *Sender) restIdle() {
-	for range min(restMost, len(s.awake)) {
-		w := s.awake[0]
-		if s.now < w.at {
+func (s *Sender) deactivateIdle() {
+	for range min(maxDeactivations, len(s.active)) {
+		w := s.active[0]
+		if s.now < w.checkAt {
 			return
 		}
-		s.awake[0].d = nil
-		s.awake = s.awake[1:]
-		if !s.rest(w.d) {
-			s.awake = append(s.awake, wakeful{w.d, s.now + s.restAfter})
+		s.active[0].destination = nil
+		s.active = s.active[1:]
+		if !s.deactivate(w.destination) {
+			s.active = append(s.active, activeDestination{w.destination, s.now + s.deactivateAfter})
 		}
 	}
 }
 
 // wakeful is a destination that is awake, and when to look at it.
-type wakeful struct {
-	d  *destination
-	at time.Duration
+type activeDestination struct {
+	destination *destinationState
+	checkAt     time.Duration
 }
 
 // newDestination returns a destination that nothing is known of.
-func (s *Sender) newDestination(n int) *destination {
-	d := &destination{number: n, backlog: backlog{firstDue: never}}
-	s.dests[n] = d
-	s.awake = append(s.awake, wakeful{d, s.now + s.restAfter})
+func (s *Sender) newDestination(n int) *destinationState {
+	d := &destinationState{number: n, backlog: backlog{firstDue: never}}
+	s.destinations[n] = d
+	s.active = append(s.active, activeDestination{d, s.now + s.deactivateAfter})
 	return d
 }
 
 // join gives a destination one endpoint more, on the lane of the others unless its kind's routes are apart.
-func (s *Sender) join(d *destination, id EndpointID, seq uint32, kind int) *endpoint {
-	ep := &endpoint{id: id, seq: seq, dest: d, kind: kind}
+func (s *Sender) addEndpoint(d *destinationState, id EndpointID, seq uint32, kind int) *endpointState {
+	ep := &endpointState{id: id, seq: seq, destination: d, kind: kind}
 	if !s.kind(ep).RoutesApart && len(d.endpoints) > 0 {
-		ep.lane = d.endpoints[0].lane
+		ep.limitScope = d.endpoints[0].limitScope
 	} else {
-		ep.lane = &lane{}
+		ep.limitScope = &limitScope{}
 	}
 	s.endpoints[id] = ep
 	d.endpoints = append(d.endpoints, ep)
@@ -247,39 +247,39 @@
 }
 
 // note takes an entry of the list in without waking anything; it is false if that cannot be.
-func (s *Sender) note(e Entry) bool {
-	marks := used
+func (s *Sender) updateDormant(e Entry) bool {
+	marks := flagUsed
 	if !e.Draining {
-		marks |= listed
+		marks |= flagInService
 	}
-	if at, known := s.roster.byID.Find(e.Endpoint); known {
-		r := &s.roster.list[at]
-		if e.Gone && r.marks&absent == 0 || !fits(int(r.dest), int(r.kind), e.Zone) {
+	if at, known := s.records.byID.Find(e.Endpoint); known {
+		r := &s.records.list[at]
+		if e.Gone && r.flags&flagGone == 0 || !fitsRecord(int(r.destination), int(r.kind), e.Zone) {
 			return false
 		}
 		if e.Gone {
-			marks = used | absent
-		} else if r.marks&absent != 0 {
-			delete(s.absent, e.Endpoint)
+			marks = flagUsed | flagGone
+		} else if r.flags&flagGone != 0 {
+			delete(s.absences, e.Endpoint)
 		}
-		r.zone, r.rate, r.marks = uint16(e.Zone), s.rateOf(e), marks
+		r.zone, r.listedRate, r.flags = uint16(e.Zone), s.entryRate(e), marks
 		return true
 	}
-	if e.Gone || !fits(e.Destination, e.Kind, e.Zone) || s.dests[e.Destination] != nil || s.endpoints[e.Endpoint] != nil {
+	if e.Gone || !fitsRecord(e.Destination, e.Kind, e.Zone) || s.destinations[e.Destination] != nil || s.endpoints[e.Endpoint] != nil {
 		return false
 	}
-	if last, known := s.roster.byDest.Find(int32(e.Destination)); known && (s.roster.list[last].state != 0 || s.roster.list[last].marks&absent != 0) {
+	if last, known := s.records.byDest.Find(int32(e.Destination)); known && (s.records.list[last].state != 0 || s.records.list[last].flags&flagGone != 0) {
 		return false // it takes over what is known of the others, which may be forgotten then
 	}
-	s.epSeq++
-	s.roster.add(record{id: e.Endpoint, seq: s.epSeq, dest: int32(e.Destination), zone: uint16(e.Zone), kind: uint8(e.Kind),
-		rate: s.rateOf(e), marks: marks})
+	s.lastSeq++
+	s.records.add(record{id: e.Endpoint, seq: s.lastSeq, destination: int32(e.Destination), zone: uint16(e.Zone), kind: uint8(e.Kind),
+		listedRate: s.entryRate(e), flags: marks})
 	return true
 }
 
 // rateOf is the rate that an entry lists, where that means something.
-func (s *Sender) rateOf(e Entry) float64 {
-	if s.set.RatesListed {
+func (s *Sender) entryRate(e Entry) float64 {
+	if s.settings.RatesListed {
 		return e.ListedRate
 	}
 	return 0
@@ -287,142 +287,144 @@
 
 // departure is that the list has lost an endpoint. It is void if the endpoint has come back since.
 type departure struct {
-	ep *endpoint
-	no int // of all departures
+	endpoint *endpointState
+	number   int // of all departures
 }
 
-func (g departure) void() bool { return !g.ep.gone || g.ep.left != g.no }
+func (g departure) obsolete() bool { return !g.endpoint.gone || g.endpoint.departureNumber != g.number }
 
 // depart notes that the list has lost an endpoint.
-func (s *Sender) depart(ep *endpoint) departure {
-	s.leaves++
-	ep.listed, ep.gone, ep.goneAt, ep.left = false, true, s.now, s.leaves
-	return departure{ep, s.leaves}
+func (s *Sender) markGone(ep *endpointState) departure {
+	s.departureCount++
+	ep.inService, ep.gone, ep.goneAt, ep.departureNumber = false, true, s.now, s.departureCount
+	return departure{ep, s.departureCount}
 }
 
 // list brings the endpoints up to date. A drained or missing one gets nothing new from this step on.
-func (s *Sender) list(e Listed) {
-	before := s.leaves
+func (s *Sender) onListUpdate(e ListUpdate) {
+	before := s.departureCount
 	if e.Whole {
-		for _, d := range s.dests {
+		for _, d := range s.destinations {
 			for _, ep := range d.endpoints {
 				s.setGone(ep, true)
 			}
 		}
-		for at := range s.roster.list {
-			s.roster.list[at].marks |= missing
+		for at := range s.records.list {
+			s.records.list[at].flags |= flagMissing
 		}
-		s.roster.reserve(len(e.Entries))
+		s.records.reserve(len(e.Entries))
 	}
-	marked := s.leaves
+	marked := s.departureCount
 	for _, entry := range e.Entries {
-		if s.note(entry) {
+		if s.updateDormant(entry) {
 			continue
 		}
 		ep := s.endpoint(entry.Endpoint)
 		if ep == nil {
 			d := s.destination(entry.Destination)
-			s.epSeq++
-			ep = s.join(d, entry.Endpoint, s.epSeq, entry.Kind)
-			s.copyFailures(ep)
+			s.lastSeq++
+			ep = s.addEndpoint(d, entry.Endpoint, s.lastSeq, entry.Kind)
+			s.inheritFailures(ep)
 		}
-		ep.zone, ep.rate, ep.listed = entry.Zone, s.rateOf(entry), !entry.Draining && !entry.Gone
+		ep.zone, ep.listedRate, ep.inService = entry.Zone, s.entryRate(entry), !entry.Draining && !entry.Gone
 		s.setGone(ep, entry.Gone)
 	}
 	if e.Whole {
-		s.lose(before, marked)
+		s.removeUnlisted(before, marked)
 	}
-	if len(s.absent) == 0 {
-		s.absent = map[EndpointID]absence{} // one that had all in it keeps its size
+	if len(s.absences) == 0 {
+		s.absences = map[EndpointID]absence{} // one that had all in it keeps its size
 	}
-	s.gone = slices.DeleteFunc(s.gone, departure.void)
-	s.forgetGone()
+	s.departures = slices.DeleteFunc(s.departures, departure.obsolete)
+	s.forgetGoneEndpoints()
 }
 
 // loss is an endpoint that a whole list does not name, awake or, by its number, at rest.
-type loss struct {
-	dest, seq uint32 // its place in the order of all
-	ep        *endpoint
-	id        EndpointID
+type lostEndpoint struct {
+	destinationSeq, seq uint32 // its place in the order of all
+	endpoint            *endpointState
+	id                  EndpointID
 }
 
 // lose takes out what a whole list did not name, in the order of all, after what has been gone for longer and before what the list itself
 // says is gone. The numbers are of the last departures before the list and before its entries.
-func (s *Sender) lose(before, marked int) {
-	var lost []loss
-	for at := range s.roster.list {
-		switch r := &s.roster.list[at]; {
-		case r.marks&(used|missing) != used|missing:
-		case r.marks&absent != 0:
-			r.marks &^= missing
+func (s *Sender) removeUnlisted(before, marked int) {
+	var lost []lostEndpoint
+	for at := range s.records.list {
+		switch r := &s.records.list[at]; {
+		case r.flags&(flagUsed|flagMissing) != flagUsed|flagMissing:
+		case r.flags&flagGone != 0:
+			r.flags &^= flagMissing
 		case r.next == uint32(at):
-			r.marks = used | absent
-			lost = append(lost, loss{s.destSeq(r), r.seq, nil, r.id})
+			r.flags = flagUsed | flagGone
+			lost = append(lost, lostEndpoint{s.destinationSeq(r), r.seq, nil, r.id})
 		default:
-			s.wake(r.dest)
+			s.activate(r.destination)
 		}
 	}
-	old, later := s.departed(before), s.departed(marked)
-	for _, g := range slices.Concat(s.gone[old:later], s.missed) {
-		if !g.void() {
-			lost = append(lost, loss{g.ep.dest.seq, g.ep.seq, g.ep, 0})
+	old, later := s.departureIndex(before), s.departureIndex(marked)
+	for _, g := range slices.Concat(s.departures[old:later], s.missingDepartures) {
+		if !g.obsolete() {
+			lost = append(lost, lostEndpoint{g.endpoint.destination.seq, g.endpoint.seq, g.endpoint, 0})
 		}
 	}
-	slices.SortFunc(lost, func(a, b loss) int { return cmp.Or(cmp.Compare(a.dest, b.dest), cmp.Compare(a.seq, b.seq)) })
-	last := slices.Clone(s.gone[later:])
-	s.gone, s.missed = s.gone[:old], nil
+	slices.SortFunc(lost, func(a, b lostEndpoint) int {
+		return cmp.Or(cmp.Compare(a.destinationSeq, b.destinationSeq), cmp.Compare(a.seq, b.seq))
+	})
+	last := slices.Clone(s.departures[later:])
+	s.departures, s.missingDepartures = s.departures[:old], nil
 	for _, l := range lost {
-		s.leaves++
-		if l.ep == nil {
-			s.absent[l.id] = absence{s.now, s.leaves}
+		s.departureCount++
+		if l.endpoint == nil {
+			s.absences[l.id] = absence{s.now, s.departureCount}
 		} else {
-			l.ep.left = s.leaves
-			s.gone = append(s.gone, departure{l.ep, s.leaves})
+			l.endpoint.departureNumber = s.departureCount
+			s.departures = append(s.departures, departure{l.endpoint, s.departureCount})
 		}
 	}
 	for _, g := range last {
-		if !g.void() {
-			s.leaves++
-			g.ep.left = s.leaves
-			s.gone = append(s.gone, departure{g.ep, s.leaves})
+		if !g.obsolete() {
+			s.departureCount++
+			g.endpoint.departureNumber = s.departureCount
+			s.departures = append(s.departures, departure{g.endpoint, s.departureCount})
 		}
 	}
 }
 
 // destSeq is the place of a destination at rest, that has one endpoint, in the order of all.
-func (s *Sender) destSeq(r *record) uint32 {
+func (s *Sender) destinationSeq(r *record) uint32 {
 	seq := r.seq
 	if r.state != 0 {
-		newPacker(s.roster.states.get(r.state), true).destSeq(&seq, r.seq)
+		newPacker(s.records.states.get(r.state), true).destinationSeq(&seq, r.seq)
 	}
 	return seq
 }
 
 // inOrder is the order of all endpoints: that in which their destinations, and then they, were first heard of.
-func inOrder(a, b *endpoint) int {
-	return cmp.Or(bySeq(a.dest, b.dest), cmp.Compare(a.seq, b.seq))
+func compareEndpoints(a, b *endpointState) int {
+	return cmp.Or(compareDestinations(a.destination, b.destination), cmp.Compare(a.seq, b.seq))
 }
 
 // setGone notes whether the list has lost an endpoint.
-func (s *Sender) setGone(ep *endpoint, gone bool) {
+func (s *Sender) setGone(ep *endpointState, gone bool) {
 	if gone && !ep.gone {
-		s.gone = append(s.gone, s.depart(ep))
+		s.departures = append(s.departures, s.markGone(ep))
 	}
 	ep.gone = gone
 }
 
 // states is what is known of destinations at rest, packed, by size: to 256 bytes in steps of eight, then doubling. A state's
 // number is its size and its place among those of that size.
-type states [64]struct {
+type packedStates [64]struct {
 	size int
 	data []byte
 	free []uint32
 }
 
-const placeBits = 24
+const stateIndexBits = 24
 
 // put keeps a state and returns its number, 0 for an empty one; it is false if there are no numbers left.
-func (t *states) put(text []byte) (no uint32, room bool) {
+func (t *packedStates) put(text []byte) (no uint32, room bool) {
 	if len(text) == 0 {
 		return 0, true
 	}
@@ -440,23 +442,23 @@
 	place := uint32(len(c.data) / size)
 	if n := len(c.free); n > 0 {
 		place, c.free = c.free[n-1], c.free[:n-1]
-	} else if place>>placeBits != 0 {
+	} else if place>>stateIndexBits != 0 {
 		return 0, false
 	} else {
 		c.data = append(c.data, make([]byte, size)...)
 	}
 	at := c.data[int(place)*size:][:size]
 	clear(at[copy(at, text):]) // zeros mean nothing at the end
-	return uint32(class)<<placeBits | place, true
+	return uint32(class)<<stateIndexBits | place, true
 }
 
 // get is a state, with zeros at its end, until the next change.
-func (t *states) get(no uint32) []byte {
-	c := &t[no>>placeBits]
-	return c.data[int(no&(1<<placeBits-1))*c.size:][:c.size]
+func (t *packedStates) get(no uint32) []byte {
+	c := &t[no>>stateIndexBits]
+	return c.data[int(no&(1<<stateIndexBits-1))*c.size:][:c.size]
 }
 
-func (t *states) drop(no uint32) {
-	c := &t[no>>placeBits]
-	c.free = append(c.free, no&(1<<placeBits-1))
+func (t *packedStates) drop(no uint32) {
+	c := &t[no>>stateIndexBits]
+	c.free = append(c.free, no&(1<<stateIndexBits-1))
 }
--- a/rules/record_test.go
+++ b/rules/record_test.go
@@ -24,9 +24,9 @@
 		for _, after := range []time.Duration{1e6 * sec, sec, 0} {
 			f := newFleet(seed, n)
 			s := New(f.set)
-			s.restAfter = after
+			s.deactivateAfter = after
 			fleets, senders, tries = append(fleets, f), append(senders, s), append(tries, map[MessageID]int{})
-			f.answer(s.Step(f.now, []Event{Listed{Whole: true, Entries: slices.Clone(f.list)}}), tries[len(tries)-1])
+			f.answer(s.Step(f.now, []Event{ListUpdate{Whole: true, Entries: slices.Clone(f.list)}}), tries[len(tries)-1])
 		}
 		rested, sends := 0, 0
 		for step := range 2500 {
@@ -34,11 +34,11 @@
 				f.log = f.log[:0]
 				f.answer(senders[i].Step(f.now, f.events(n)), tries[i])
 				if diff := cmp.Diff(fleets[0].log, f.log); diff != "" {
-					t.Fatalf("seed %d, step %d, rest after %v: %s", seed, step, senders[i].restAfter, diff)
+					t.Fatalf("seed %d, step %d, rest after %v: %s", seed, step, senders[i].deactivateAfter, diff)
 				}
 			}
 			sends += len(tries[0])
-			rested = max(rested, senders[2].roster.states.count())
+			rested = max(rested, senders[2].records.states.count())
 		}
 		if len(tries[0]) < 300 || n > 10 && rested < n/4 {
 			t.Errorf("seed %d: %d messages sent, %d destinations of %d at rest with a state: too few to tell", seed, len(tries[0]), rested, n)
@@ -47,7 +47,7 @@
 }
 
 // count is how many states are kept.
-func (t *states) count() (n int) {
+func (t *packedStates) count() (n int) {
 	for _, c := range t {
 		if c.size > 0 {
 			n += len(c.data)/c.size - len(c.free)
@@ -83,8 +83,8 @@
 // All that is known of a destination comes back to the last bit, whatever it is: each field of it that is new has to be packed too.
 func TestRestLosesNothing(t *testing.T) {
 	apart := map[string]bool{"number": true, "endpoints": true, "backlog": true, "pinned": true, // of a destination
-		"id": true, "seq": true, "zone": true, "kind": true, "dest": true, "lane": true, "listed": true, "gone": true, "goneAt": true, "left": true,
-		"rate": true, "calls": true, "services": true, "inflight": true, "class": true, "next": true}
+		"id": true, "seq": true, "zone": true, "kind": true, "destination": true, "limitScope": true, "inService": true, "gone": true, "goneAt": true,
+		"departureNumber": true, "listedRate": true, "calls": true, "classes": true, "inFlight": true, "class": true, "next": true}
 	all, bits := cmp.Exporter(func(reflect.Type) bool { return true }), cmp.Comparer(func(a, b float64) bool { return math.Float64bits(a) == math.Float64bits(b) })
 	for seed := range uint64(2000) {
 		rng := rand.New(rand.NewPCG(seed, 0))
@@ -93,27 +93,27 @@
 		for i := range 1 + rng.IntN(4) {
 			entries = append(entries, Entry{Endpoint: EndpointID(100 + i), Destination: 7, Kind: rng.IntN(3), Zone: i})
 		}
-		s.Step(sec, []Event{Listed{Entries: entries}})
+		s.Step(sec, []Event{ListUpdate{Entries: entries}})
 		d := s.destination(7)
 		scramble(rng, reflect.ValueOf(d).Elem(), apart)
 		d.seq = d.endpoints[0].seq - uint32(rng.IntN(2))*rng.Uint32N(50)
 		for _, ep := range d.endpoints {
 			scramble(rng, reflect.ValueOf(ep).Elem(), apart)
-			scramble(rng, reflect.ValueOf(ep.lane).Elem(), map[string]bool{"inflight": true})
-			scramble(rng, reflect.ValueOf(&ep.lane.pace).Elem(), nil)
+			scramble(rng, reflect.ValueOf(ep.limitScope).Elem(), map[string]bool{"inFlight": true})
+			scramble(rng, reflect.ValueOf(&ep.limitScope.controller).Elem(), nil)
 			for class := range rng.IntN(4) {
-				v := ep.service(class)
+				v := ep.classHealth(class)
 				scramble(rng, reflect.ValueOf(v).Elem(), apart)
 				v.latency = 3 // something is known of it
 			}
 		}
 		got := d
 		for range 2 { // after one rest services are in the other order, which is of no matter
-			if !s.rest(got) || s.dests[7] != nil || len(s.endpoints) > 0 {
+			if !s.deactivate(got) || s.destinations[7] != nil || len(s.endpoints) > 0 {
 				t.Fatalf("seed %d: it does not rest", seed)
 			}
 			got = s.destination(7)
-			if n := s.roster.states.count() + len(s.roster.list) - len(s.roster.free); n != 0 {
+			if n := s.records.states.count() + len(s.records.list) - len(s.records.free); n != 0 {
 				t.Fatalf("seed %d: %d states and records are kept of what is awake", seed, n)
 			}
 		}
@@ -126,20 +126,20 @@
 // restNow lets a sender of one destination lay it down now, or not at all.
 func restNow(b *bench, want bool) {
 	b.t.Helper()
-	b.s.restAfter = 0
-	for i := range b.s.awake {
-		b.s.awake[i].at = 0
+	b.s.deactivateAfter = 0
+	for i := range b.s.active {
+		b.s.active[i].checkAt = 0
 	}
-	b.step(Woke{})
-	if rests := len(b.s.dests) == 0; rests != want {
+	b.step(WakeUp{})
+	if rests := len(b.s.destinations) == 0; rests != want {
 		b.t.Fatalf("at rest: %v, want %v", rests, want)
 	}
 }
 
 // A wait told binds a destination that went to rest, until it is over and not longer, whoever told of it.
 func TestAWaitHoldsAtADestinationThatRested(t *testing.T) {
-	for _, told := range []Event{Ended{ID: "nobody's", Endpoint: 11, Outcome: Full, Wait: 4 * sec}, Told{Note{Endpoint: 11, Wait: 4 * sec}}} {
-		b := newBench(t, func(s *Settings) { s.MayAdvise, s.MayTell = false, true })
+	for _, told := range []Event{AttemptEnded{ID: "nobody's", Endpoint: 11, Outcome: Refused, RetryAfter: 4 * sec}, HintReceived{Hint{Endpoint: 11, RetryAfter: 4 * sec}}} {
+		b := newBench(t, func(s *Settings) { s.MaySendRetryAfter, s.MayShareHints = false, true })
 		b.step(told)
 		restNow(b, true)
 		b.now += sec
@@ -159,7 +159,7 @@
 	var calls [2][]time.Duration
 	for rested := range 2 {
 		b := newBench(t, nil)
-		b.s.restAfter = 1e6 * sec
+		b.s.deactivateAfter = 1e6 * sec
 		for range 40 {
 			b.take(safe)
 		}
@@ -174,7 +174,7 @@
 		if rested == 1 {
 			restNow(b, true)
 		} else {
-			b.step(Woke{})
+			b.step(WakeUp{})
 		}
 		b.now += 10 * sec
 		for range 40 {
@@ -200,20 +200,20 @@
 	b.step(Withdrawn{ID: id})
 	restNow(b, false)
 	b.now += 30 * ms
-	b.step(Ended{ID: id, Endpoint: 11, Outcome: OK, Elapsed: 35 * ms})
+	b.step(AttemptEnded{ID: id, Endpoint: 11, Outcome: OK, Elapsed: 35 * ms})
 	restNow(b, true)
-	if ep := b.s.endpoint(11); ep.latency != 0.035 || ep.lane.inflight != 0 {
-		t.Errorf("latency %v, %d out: the outcome does not count", ep.latency, ep.lane.inflight)
+	if ep := b.s.endpoint(11); ep.latency != 0.035 || ep.limitScope.inFlight != 0 {
+		t.Errorf("latency %v, %d out: the outcome does not count", ep.latency, ep.limitScope.inFlight)
 	}
 }
 
 // A destination of which an endpoint is named in a message for another one stays awake: the zone that it had is the one that counts.
 func TestWhatAMessageElsewhereNamesStaysAwake(t *testing.T) {
 	b := newBench(t, nil, Entry{Endpoint: 11, Destination: 1}, Entry{Endpoint: 21, Destination: 2})
-	b.step(Arrived{ID: "m", Destination: 1, Class: keyedZone, TimeLeft: 16 * sec, Before: Before{Attempts: 1, MayRun: true, At: 21}})
-	b.s.awake[0].at = 0
+	b.step(Arrived{ID: "m", Destination: 1, Class: keyedZone, TimeLeft: 16 * sec, Prior: PriorAttempts{Count: 1, MayHaveRun: true, Endpoint: 21}})
+	b.s.active[0].checkAt = 0
 	restNow(b, false)
-	if b.s.dests[2] == nil {
+	if b.s.destinations[2] == nil {
 		t.Error("it rests")
 	}
 }
@@ -221,36 +221,36 @@
 // A list says the same of what rests as of what is awake: what drains gets nothing, what is gone is forgotten, and what has no place
 // in a record stays awake.
 func TestAListReachesWhatRests(t *testing.T) {
-	forgets := func(out []Action) bool { return slices.Contains(out, Action(Forgot{Endpoint: 11})) }
+	forgets := func(out []Action) bool { return slices.Contains(out, Action(EndpointForgotten{Endpoint: 11})) }
 	for _, c := range []struct {
 		name    string
-		l       Listed
+		l       ListUpdate
 		sent    EndpointID
 		forgot  bool
 		resting bool
 	}{
-		{"unchanged", Listed{Entries: []Entry{{Endpoint: 11, Destination: 1}}}, 11, false, true},
-		{"drains", Listed{Entries: []Entry{{Endpoint: 11, Destination: 1, Draining: true}}}, 0, false, true},
-		{"is gone", Listed{Entries: []Entry{{Endpoint: 11, Destination: 1, Gone: true}, {Endpoint: 12, Destination: 1}}}, 12, true, false},
-		{"is gone from the whole", Listed{Whole: true, Entries: []Entry{{Endpoint: 12, Destination: 1}}}, 12, true, false},
-		{"is gone with all", Listed{Whole: true}, 0, false, true},
-		{"is there in the whole", Listed{Whole: true, Entries: []Entry{{Endpoint: 11, Destination: 1}}}, 11, false, true},
-		{"is far away", Listed{Entries: []Entry{{Endpoint: 11, Destination: 1, Zone: 1 << 20}}}, 11, false, false},
+		{"unchanged", ListUpdate{Entries: []Entry{{Endpoint: 11, Destination: 1}}}, 11, false, true},
+		{"drains", ListUpdate{Entries: []Entry{{Endpoint: 11, Destination: 1, Draining: true}}}, 0, false, true},
+		{"is gone", ListUpdate{Entries: []Entry{{Endpoint: 11, Destination: 1, Gone: true}, {Endpoint: 12, Destination: 1}}}, 12, true, false},
+		{"is gone from the whole", ListUpdate{Whole: true, Entries: []Entry{{Endpoint: 12, Destination: 1}}}, 12, true, false},
+		{"is gone with all", ListUpdate{Whole: true}, 0, false, true},
+		{"is there in the whole", ListUpdate{Whole: true, Entries: []Entry{{Endpoint: 11, Destination: 1}}}, 11, false, true},
+		{"is far away", ListUpdate{Entries: []Entry{{Endpoint: 11, Destination: 1, Zone: 1 << 20}}}, 11, false, false},
 	} {
 		for _, used := range []bool{false, true} {
 			b := newBench(t, nil)
 			if used {
 				id, _ := b.take(safe)
 				b.now += 30 * ms
-				b.step(Ended{ID: id, Endpoint: 11, Outcome: OK, Elapsed: 30 * ms, Over: true})
+				b.step(AttemptEnded{ID: id, Endpoint: 11, Outcome: OK, Elapsed: 30 * ms, Finished: true})
 				restNow(b, true)
 			}
 			b.step(c.l)
-			if resting := len(b.s.dests) == 0; resting != c.resting && !(used && !resting) {
+			if resting := len(b.s.destinations) == 0; resting != c.resting && !(used && !resting) {
 				t.Errorf("%s: at rest %v", c.name, resting)
 			}
-			b.now += goneMemory
-			out := b.step(Listed{})
+			b.now += goneRetention
+			out := b.step(ListUpdate{})
 			_, more := b.take(safe)
 			got := sends(more)
 			if len(got) > 0 != (c.sent > 0) || len(got) > 0 && got[0].Endpoint != c.sent || forgets(out) != c.forgot {
@@ -264,10 +264,10 @@
 func TestEndpointsReplacedUnderLoadLeaveNothing(t *testing.T) {
 	const destinations, rounds = 500, 100
 	b := newBench(t, func(s *Settings) { s.Slots = 400 }, Entry{Endpoint: 1, Destination: 0})
-	b.s.restAfter = sec
+	b.s.deactivateAfter = sec
 	id := EndpointID(0)
 	for round := range rounds {
-		l := Listed{Whole: round%10 == 0}
+		l := ListUpdate{Whole: round%10 == 0}
 		for d := range destinations {
 			if round > 0 && !l.Whole {
 				l.Entries = append(l.Entries, Entry{Endpoint: id - destinations + 1, Destination: d, Gone: true})
@@ -281,26 +281,26 @@
 			out := b.step(Arrived{ID: name, Destination: (round*40 + i) % destinations, Class: safe, TimeLeft: 16 * sec})
 			b.now += 5 * ms
 			for _, send := range sends(out) {
-				b.step(Ended{ID: send.ID, Endpoint: send.Endpoint, Outcome: OK, Elapsed: 5 * ms, Over: true})
+				b.step(AttemptEnded{ID: send.ID, Endpoint: send.Endpoint, Outcome: OK, Elapsed: 5 * ms, Finished: true})
 			}
 		}
 		b.now += 10 * sec
 	}
-	b.step(Listed{})
+	b.step(ListUpdate{})
 	for range 100 {
 		b.now += sec
-		b.step(Woke{})
+		b.step(WakeUp{})
 	}
-	b.now += goneMemory
+	b.now += goneRetention
 	for range 20 {
-		b.step(Listed{})
+		b.step(ListUpdate{})
 		b.now += sec
 	}
-	if n := len(b.s.endpoints) + len(b.s.roster.list) - len(b.s.roster.free); n != destinations {
+	if n := len(b.s.endpoints) + len(b.s.records.list) - len(b.s.records.free); n != destinations {
 		t.Errorf("%d endpoints known of %d; want %d", n, id, destinations)
 	}
-	if len(b.s.dests) > 0 || len(b.s.gone) > 0 || len(b.s.awake) > 0 || len(b.s.held) > 0 || len(b.s.roster.list) > 4*destinations {
-		t.Errorf("left awake: %d destinations, %d gone, %d to look at, %d held; %d records", len(b.s.dests), len(b.s.gone), len(b.s.awake), len(b.s.held), len(b.s.roster.list))
+	if len(b.s.destinations) > 0 || len(b.s.departures) > 0 || len(b.s.active) > 0 || len(b.s.held) > 0 || len(b.s.records.list) > 4*destinations {
+		t.Errorf("left awake: %d destinations, %d gone, %d to look at, %d held; %d records", len(b.s.destinations), len(b.s.departures), len(b.s.active), len(b.s.held), len(b.s.records.list))
 	}
 }
 
@@ -319,17 +319,17 @@
 		}
 		return got
 	}
-	s.Step(now+sec, []Event{Listed{Whole: true}})
-	if len(s.dests) > 0 || len(s.endpoints) > 0 || len(s.absent) != n {
-		t.Errorf("an empty list leaves %d destinations awake and %d absent, want none and %d", len(s.dests), len(s.absent), n)
+	s.Step(now+sec, []Event{ListUpdate{Whole: true}})
+	if len(s.destinations) > 0 || len(s.endpoints) > 0 || len(s.absences) != n {
+		t.Errorf("an empty list leaves %d destinations awake and %d absent, want none and %d", len(s.destinations), len(s.absences), n)
 	}
 	if got := send(3); len(got) > 0 {
 		t.Errorf("what is gone got %v", got)
 	}
-	now += goneMemory
+	now += goneRetention
 	s.Step(now, []Event{whole(n)})
-	if len(s.dests) != 0 || len(s.absent) != 0 || len(s.gone) != 0 {
-		t.Errorf("%d destinations awake, %d absent, %d gone; want none", len(s.dests), len(s.absent), len(s.gone))
+	if len(s.destinations) != 0 || len(s.absences) != 0 || len(s.departures) != 0 {
+		t.Errorf("%d destinations awake, %d absent, %d gone; want none", len(s.destinations), len(s.absences), len(s.departures))
 	}
 	if got := send(5); len(got) != 1 {
 		t.Errorf("what is back got %v, want one call", got)
@@ -372,7 +372,7 @@
 }
 
 // list takes a list in and returns what is forgotten.
-func (p *plainList) list(e Listed, now time.Duration) (forgot []Action) {
+func (p *plainList) list(e ListUpdate, now time.Duration) (forgot []Action) {
 	if e.Whole {
 		for _, d := range p.order {
 			for _, ep := range d.eps {
@@ -398,9 +398,9 @@
 		p.setGone(ep, entry.Gone, now)
 	}
 	for _, ep := range slices.Clone(p.gone) {
-		if now-ep.goneAt >= goneMemory && len(ep.d.eps) > 1 {
+		if now-ep.goneAt >= goneRetention && len(ep.d.eps) > 1 {
 			p.gone, ep.d.eps = without(p.gone, ep), without(ep.d.eps, ep)
-			forgot = append(forgot, Forgot{Endpoint: ep.Endpoint})
+			forgot = append(forgot, EndpointForgotten{Endpoint: ep.Endpoint})
 		}
 	}
 	return forgot
@@ -413,11 +413,11 @@
 		set := testSettings()
 		set.Senders = 40
 		s, plain, now, forgotten := New(set), &plainList{}, 100*sec, 0
-		s.restAfter = time.Duration(seed%3) * sec
+		s.deactivateAfter = time.Duration(seed%3) * sec
 		ids, dests := 2+rng.IntN(60), 1+rng.IntN(20)
 		for step := range 400 {
 			now += time.Duration(rng.IntN(9000)) * ms
-			var l Listed
+			var l ListUpdate
 			l.Whole = rng.IntN(5) == 0
 			for range rng.IntN(1 + ids/(1+int(seed%8))) {
 				id := 1 + rng.IntN(ids)
@@ -427,13 +427,13 @@
 			if d := rng.IntN(2 * dests); rng.IntN(3) == 0 && len(plain.dest(d).eps) == 0 { // first heard of by a message, whose time is over
 				events = slices.Insert(events, 0, Event(Arrived{ID: MessageID(fmt.Sprint("m", step)), Destination: d, Class: safe}))
 			} else if rng.IntN(3) == 0 {
-				events = append(events, Told{Note{Endpoint: EndpointID(1 + rng.IntN(ids)), Class: safe}})
+				events = append(events, HintReceived{Hint{Endpoint: EndpointID(1 + rng.IntN(ids)), Class: safe}})
 			}
 			want := plain.list(l, now)
 			forgotten += len(want)
 			var got []Action
 			for _, a := range s.Step(now, events) {
-				if f, ok := a.(Forgot); ok {
+				if f, ok := a.(EndpointForgotten); ok {
 					got = append(got, f)
 				}
 			}
@@ -450,7 +450,7 @@
 						listed++
 					}
 				}
-				if got := s.destination(d.no); len(got.endpoints) != len(d.eps) || len(slices.DeleteFunc(slices.Clone(got.endpoints), func(ep *endpoint) bool { return !ep.listed })) != listed {
+				if got := s.destination(d.no); len(got.endpoints) != len(d.eps) || len(slices.DeleteFunc(slices.Clone(got.endpoints), func(ep *endpointState) bool { return !ep.inService })) != listed {
 					t.Fatalf("seed %d, step %d: destination %d has %d endpoints, want %d, %d of them listed", seed, step, d.no, len(got.endpoints), len(d.eps), listed)
 				}
 			}
@@ -471,7 +471,7 @@
 		for i := range 9 {
 			began := time.Now()
 			now += sec
-			s.Step(now, []Event{[]Listed{all, half, all}[i%3], all})
+			s.Step(now, []Event{[]ListUpdate{all, half, all}[i%3], all})
 			best = min(best, time.Since(began))
 		}
 		return best
