--- a/rules/rules_test.go
+++ b/rules/rules_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-func withWait(d time.Duration) func(*Ended) { return func(e *Ended) { e.Wait = d } }
+func withWait(d time.Duration) func(*AttemptEnded) { return func(e *AttemptEnded) { e.RetryAfter = d } }
 
 // Rule 1: one final answer, in time, and nothing sent after it.
 
@@ -32,7 +32,7 @@
 	b := newBench(t, func(s *Settings) { s.Tick = 100 * ms }, Entry{Endpoint: 11, Destination: 2})
 	b.take(safe)
 	b.now += 16*sec - 150*ms
-	if got := finals(b.step(Woke{})); got != 1 {
+	if got := finals(b.step(WakeUp{})); got != 1 {
 		t.Errorf("%d answers at the last step in time, want 1", got)
 	}
 }
@@ -43,7 +43,7 @@
 		b.take(safe)
 	}
 	b.now += 60 * sec
-	if got := finals(b.step(Woke{})); got != 5 {
+	if got := finals(b.step(WakeUp{})); got != 5 {
 		t.Errorf("%d answers after a jump, want 5", got)
 	}
 }
@@ -51,7 +51,7 @@
 func TestWakeUpIsNeverLost(t *testing.T) {
 	b := newBench(t, nil, Entry{Endpoint: 11, Destination: 2})
 	id := b.arrive(safe)
-	b.s.endpoint(11).lane.pace.next = b.now + 333*time.Nanosecond // not whole microseconds
+	b.s.endpoint(11).limitScope.controller.nextSend = b.now + 333*time.Nanosecond // not whole microseconds
 	b.step(Arrived{ID: id, Destination: 1, Class: safe, TimeLeft: 16 * sec})
 	var due []time.Duration // the wake-ups asked for, cut to microseconds as a wire would
 	seen := 0
@@ -65,7 +65,7 @@
 		}
 		slices.Sort(due)
 		b.now, due = due[0], due[1:]
-		if finals(b.step(Woke{})) == 1 {
+		if finals(b.step(WakeUp{})) == 1 {
 			return
 		}
 	}
@@ -87,9 +87,9 @@
 	id, _ := b.take(safe)
 	b.end(id, 0, 11, OK)
 	for _, out := range [][]Action{
-		b.end(id, 0, 11, OK), b.end(id, 5, 11, TimedOut), b.end("nobody", 0, 99, Full),
+		b.end(id, 0, 11, OK), b.end(id, 5, 11, TimedOut), b.end("nobody", 0, 99, Refused),
 		b.step(StreamStarted{ID: "nobody"}),
-		b.step(Withdrawn{ID: "nobody"}), b.step(ListFailed{}), b.step(Woke{}),
+		b.step(Withdrawn{ID: "nobody"}), b.step(DiscoveryFailed{}), b.step(WakeUp{}),
 	} {
 		if len(out) != 0 {
 			t.Errorf("acted on a stray event: %v", out)
@@ -105,7 +105,7 @@
 	if out := b.wait(30 * sec); finals(out)+len(sends(out))+len(pick[Cancel](out)) != 0 {
 		t.Errorf("acted on a streaming message: %v", out)
 	}
-	if got := b.end(id, 0, 11, Reset, func(e *Ended) { e.Over = true }); finals(got) != 0 {
+	if got := b.end(id, 0, 11, Reset, func(e *AttemptEnded) { e.Finished = true }); finals(got) != 0 {
 		t.Error("answered a stream that the client has")
 	}
 	if len(b.s.held) != 0 || len(b.s.calls) != 0 {
@@ -129,7 +129,7 @@
 		{"once time-out", once, TimedOut, want{failed: true}},
 		{"once reset", once, Reset, want{failed: true}},
 		{"once cancelled", once, Cancelled, want{failed: true}},
-		{"once refused", once, Full, want{resent: true}},
+		{"once refused", once, Refused, want{resent: true}},
 		{"once no connection", once, ConnectError, want{resent: true}},
 		{"once not sent", once, NotSent, want{resent: true}},
 		{"keyed error in window", keyed, Errored, want{resent: true}},
@@ -168,7 +168,7 @@
 	id, _ := b.take(keyed)
 	m := b.s.held[id]
 	ep := b.s.endpoint(11)
-	m.out, m.mayRun, m.mayRunAt = nil, b.now, ep
+	m.inFlight, m.mayHaveRunSince, m.mayHaveRunOn = nil, b.now, ep
 	b.s.now = b.now + 6*sec - 10*ms
 	if !b.s.maySend(m, ep) {
 		t.Error("a repeat just inside the window is barred")
@@ -189,22 +189,22 @@
 		b.serve(20, safe, 11)
 		id, out := b.take(class)
 		first := sends(out)
-		if len(first) != 1 || first[0].Within != 0 {
+		if len(first) != 1 || first[0].WriteWithin != 0 {
 			t.Fatalf("class %d: first attempt %+v, want one that leaves whenever it can", class, first)
 		}
 		sent := b.now
 		b.now += sec
-		out = b.step(Ended{ID: id, Attempt: 0, Endpoint: first[0].Endpoint, Outcome: Reset, Elapsed: sec})
+		out = b.step(AttemptEnded{ID: id, Attempt: 0, Endpoint: first[0].Endpoint, Outcome: Reset, Elapsed: sec})
 		for again := sends(out); len(again) == 0; again = sends(out) {
 			if b.now += 5 * ms; b.now > sent+5*sec {
 				break // what may not be repeated
 			}
-			out = b.step(Woke{})
+			out = b.step(WakeUp{})
 		}
 		for _, again := range sends(out) {
-			left := b.s.set.Classes[keyed].Window - (b.now - sent) - b.s.set.Tick
-			if !bound && again.Within != 0 || bound && again.Within != left {
-				t.Errorf("class %d: the repeat has to leave within %v, left of the window are %v", class, again.Within, left)
+			left := b.s.settings.Classes[keyed].Window - (b.now - sent) - b.s.settings.Tick
+			if !bound && again.WriteWithin != 0 || bound && again.WriteWithin != left {
+				t.Errorf("class %d: the repeat has to leave within %v, left of the window are %v", class, again.WriteWithin, left)
 			}
 		}
 		if again := len(sends(out)); (again == 1) != (class != once) {
@@ -224,10 +224,10 @@
 		b := newBench(t, nil, entries...)
 		id, _ := b.take(c.class)
 		m := b.s.held[id]
-		if m.out = nil; !b.s.maySend(m, b.s.endpoint(c.ep)) {
+		if m.inFlight = nil; !b.s.maySend(m, b.s.endpoint(c.ep)) {
 			t.Errorf("class %d: barred from %d before anything may have run", c.class, c.ep)
 		}
-		m.mayRun, m.mayRunAt = b.now, b.s.endpoint(11)
+		m.mayHaveRunSince, m.mayHaveRunOn = b.now, b.s.endpoint(11)
 		if got := b.s.maySend(m, b.s.endpoint(c.ep)); got != c.want {
 			t.Errorf("class %d to %d: %v, want %v", c.class, c.ep, got, c.want)
 		}
@@ -240,7 +240,7 @@
 func TestKeyedPastItsWindowIsAnsweredAtOnce(t *testing.T) {
 	b := newBench(t, nil)
 	id, _ := b.take(keyed)
-	b.step(Listed{Entries: []Entry{{Endpoint: 11, Destination: 1, Gone: true}}})
+	b.step(ListUpdate{Entries: []Entry{{Endpoint: 11, Destination: 1, Gone: true}}})
 	b.end(id, 0, 11, Reset)
 	if got := finals(b.wait(6*sec + 50*ms)); got != 1 {
 		t.Errorf("%d answers by the window's end, want 1", got)
@@ -258,7 +258,7 @@
 // Rule 3: drains.
 
 func TestNothingNewToDrainedOrMissing(t *testing.T) {
-	for name, list := range map[string]Listed{
+	for name, list := range map[string]ListUpdate{
 		"draining": {Entries: []Entry{{Endpoint: 11, Destination: 1, Draining: true}}},
 		"gone":     {Entries: []Entry{{Endpoint: 11, Destination: 1, Gone: true}}},
 		"missing":  {Whole: true},
@@ -268,7 +268,7 @@
 		if _, out := b.take(safe); len(sends(out))+len(sends(b.wait(3*sec))) != 0 {
 			t.Errorf("%s: sent", name)
 		}
-		out := b.step(Listed{Entries: []Entry{{Endpoint: 12, Destination: 1}}})
+		out := b.step(ListUpdate{Entries: []Entry{{Endpoint: 12, Destination: 1}}})
 		if got := sends(out); len(got) != 1 || got[0].Endpoint != 12 {
 			t.Errorf("%s: held message not sent to the replacement: %v", name, out)
 		}
@@ -278,10 +278,10 @@
 // Rule 4: safe fail-back.
 
 func TestFailBackKeepsTheBudget(t *testing.T) {
-	for _, o := range []Outcome{Reset, ConnectError, Errored, Full} {
+	for _, o := range []Outcome{Reset, ConnectError, Errored, Refused} {
 		b := newBench(t, nil)
 		b.serve(100, safe, 11) // ten calls a second
-		before := b.s.endpoint(11).delivered.perSecond(b.now, deliveredMemory)
+		before := b.s.endpoint(11).deliveredRate.perSecond(b.now, trafficSpan)
 		for range 60 {
 			b.take(safe)
 		}
@@ -330,7 +330,7 @@
 	b := newBench(t, nil)
 	b.take(safe)
 	b.run(12*sec, always(ConnectError, 10*ms))
-	if len(b.s.held) != 1 || b.s.held["m1"].tries != 5 {
+	if len(b.s.held) != 1 || b.s.held["m1"].attemptCount != 5 {
 		t.Fatal("trials used up the message's last attempt")
 	}
 	if b.take(safe); b.s.held["m2"] == nil {
@@ -372,7 +372,7 @@
 	if got := sends(b.wait(sec)); len(got) != 0 {
 		t.Fatal("sent while an attempt of an earlier message is out")
 	}
-	b.end("a", 0, 11, TimedOut, func(e *Ended) { e.Over = true })
+	b.end("a", 0, 11, TimedOut, func(e *AttemptEnded) { e.Finished = true })
 	if got := sends(b.wait(490 * ms)); len(got) != 0 {
 		t.Error("sent before the key has rested")
 	}
@@ -394,7 +394,7 @@
 				Entry{Endpoint: 12, Destination: 1, Kind: c.kind})
 			id, out := b.take(safe)
 			told := sends(out)[0].Endpoint
-			got := sends(b.end(id, 0, told, Full, withWait(500*ms)))
+			got := sends(b.end(id, 0, told, Refused, withWait(500*ms)))
 			got = append(got, sends(b.wait(495*ms))...)
 			if len(got) != c.want {
 				t.Fatalf("%d sends during the wait, want %d", len(got), c.want)
@@ -419,8 +419,8 @@
 		events = append(events, Arrived{ID: id, Destination: 1, TimeLeft: 16 * sec})
 	}
 	b.step(events...)
-	b.end("a", 0, 11, Full)
-	b.end("b", 0, 11, Full, withWait(sec))
+	b.end("a", 0, 11, Refused)
+	b.end("b", 0, 11, Refused, withWait(sec))
 	if got := sends(b.wait(995 * ms)); len(got) != 0 {
 		t.Errorf("%d sends during the wait, want none", len(got))
 	}
@@ -433,18 +433,18 @@
 		b := newBench(t, func(s *Settings) { s.MaxAttempts = 2 }, Entry{Endpoint: 11, Destination: 1, Kind: kind})
 		first, _ := b.take(safe)
 		id, _ := b.take(safe)
-		b.step(Listed{Entries: []Entry{{Endpoint: 12, Destination: 1, Kind: kind}}})
-		back := pick[Recall](b.end(first, 0, 11, Full, withWait(500*ms)))
+		b.step(ListUpdate{Entries: []Entry{{Endpoint: 12, Destination: 1, Kind: kind}}})
+		back := pick[Recall](b.end(first, 0, 11, Refused, withWait(500*ms)))
 		if len(back) != 1 || back[0] != (Recall{ID: id}) {
 			t.Fatalf("kind %d: called back %v, want %s", kind, back, id)
 		}
-		got := sends(b.end(id, 0, 11, NotSent, func(e *Ended) { e.Recalled = true }))
-		if got = append(got, sends(b.wait(495*ms))...); len(got) != elsewhere || b.s.endpoint(11).fails != 0 {
-			t.Errorf("kind %d: %d sends during the wait, want %d; %d failures", kind, len(got), elsewhere, b.s.endpoint(11).fails)
+		got := sends(b.end(id, 0, 11, NotSent, func(e *AttemptEnded) { e.Recalled = true }))
+		if got = append(got, sends(b.wait(495*ms))...); len(got) != elsewhere || b.s.endpoint(11).consecutiveFailures != 0 {
+			t.Errorf("kind %d: %d sends during the wait, want %d; %d failures", kind, len(got), elsewhere, b.s.endpoint(11).consecutiveFailures)
 		}
 		got = append(got, sends(b.wait(6*sec))...)
-		if !slices.ContainsFunc(got, func(a Send) bool { return a.ID == id }) || b.s.held[id].tries != 1 {
-			t.Errorf("kind %d: sent %v, %d tries counted", kind, got, b.s.held[id].tries)
+		if !slices.ContainsFunc(got, func(a Send) bool { return a.ID == id }) || b.s.held[id].attemptCount != 1 {
+			t.Errorf("kind %d: sent %v, %d tries counted", kind, got, b.s.held[id].attemptCount)
 		}
 	}
 }
@@ -484,35 +484,35 @@
 			}
 			return !known
 		}
-		b.step(Listed{Whole: true})
+		b.step(ListUpdate{Whole: true})
 		for range 4000 { // in fewer some seeds hardly come to ten waits
 			b.now += time.Duration(r.IntN(60)) * ms
 			if r.IntN(50) == 0 {
 				b.now += time.Duration(r.IntN(40)) * sec
 			}
-			events := []Event{Woke{}}
+			events := []Event{WakeUp{}}
 			if n := EndpointID(r.IntN(6)); r.IntN(4) == 0 {
 				e := Entry{Endpoint: 10 + n, Destination: int(n % 2), Kind: kind, Draining: r.IntN(4) == 0, Gone: r.IntN(4) == 0}
-				events, listed[e.Endpoint] = append(events, Listed{Entries: []Entry{e}}), !e.Draining && !e.Gone
+				events, listed[e.Endpoint] = append(events, ListUpdate{Entries: []Entry{e}}), !e.Draining && !e.Gone
 			}
 			for _, id := range slices.Sorted(maps.Keys(held)) {
 				m := held[id]
 				if !m.out || r.IntN(3) > 0 {
 					continue
 				}
-				e := Ended{ID: id, Attempt: m.sent - 1, Endpoint: m.at, Outcome: Outcome(r.IntN(int(NotSent) + 1)), Recalled: m.recalled}
+				e := AttemptEnded{ID: id, Attempt: m.sent - 1, Endpoint: m.at, Outcome: Outcome(r.IntN(int(NotSent) + 1)), Recalled: m.recalled}
 				if m.recalled {
 					e.Outcome = NotSent
 					m.back++
 				} else if r.IntN(3) == 0 {
-					e.Wait = time.Duration(r.IntN(3000)) * ms
+					e.RetryAfter = time.Duration(r.IntN(3000)) * ms
 					if r.IntN(4) == 0 {
-						e.Wait *= 40
+						e.RetryAfter *= 40
 					}
-					until[lane(m.at)], waits = max(until[lane(m.at)], b.now+e.Wait), waits+1
+					until[lane(m.at)], waits = max(until[lane(m.at)], b.now+e.RetryAfter), waits+1
 				}
-				m.out, m.recalled, e.Over = false, false, e.Outcome == OK
-				if events = append(events, e); e.Over || m.over {
+				m.out, m.recalled, e.Finished = false, false, e.Outcome == OK
+				if events = append(events, e); e.Finished || m.over {
 					delete(held, id)
 				}
 			}
@@ -549,8 +549,8 @@
 				if m.out && !m.recalled && (b.now < until[lane(m.at)] || !listed[m.at]) {
 					t.Fatalf("seed %d, %v: %s at %d is not called back", seed, b.now, id, m.at)
 				}
-				if k := b.s.held[id]; k != nil && k.tries != m.sent-m.back {
-					t.Fatalf("seed %d, %v: %d tries counted, %d made and %d called back", seed, b.now, k.tries, m.sent, m.back)
+				if k := b.s.held[id]; k != nil && k.attemptCount != m.sent-m.back {
+					t.Fatalf("seed %d, %v: %d tries counted, %d made and %d called back", seed, b.now, k.attemptCount, m.sent, m.back)
 				}
 				if !m.out && !open(m) {
 					t.Fatalf("seed %d, %v: %s is kept, though all waits outlast it", seed, b.now, id)
@@ -574,21 +574,21 @@
 	}{
 		{"from the send rate", 2, 30, 1, 0, 0.7 * 10},
 		{"from the refused rate", 10, 0, 8, 0, 0.7 * 8 / 3},
-		{"a crowd measures over longer", 200, 40, 1, 0, 0.7 * 40 / crowdMemory.Seconds()},
-		{"no sender of a crowd is cut to its even part, as traffic is not spread evenly", 200, 1, 1, 4, minPace},
+		{"a crowd measures over longer", 200, 40, 1, 0, 0.7 * 40 / largeFleetRateSpan.Seconds()},
+		{"no sender of a crowd is cut to its even part, as traffic is not spread evenly", 200, 1, 1, 4, minRate},
 		{"listed rate seeds a burst down", 2, 40, 1, 6, 0.7 * 6},
 		{"listed rate seeds a trickle up", 2, 1, 1, 8, 0.7 * 4},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var p pace
+			var p rateController
 			for range c.sent {
 				p.onSend(0, c.senders)
 			}
-			if max(p.haltUntil, p.next) != 0 {
+			if max(p.notBefore, p.nextSend) != 0 {
 				t.Error("bound before any refusal")
 			}
-			p.refused.add(0, rateSpan(c.senders), float64(c.refused-1))
-			p.onRefusal(0, 0, c.listed, c.senders, 1, minPace)
+			p.refusedRate.add(0, rateSpan(c.senders), float64(c.refused-1))
+			p.onRefusal(0, 0, c.listed, c.senders, 1, minRate)
 			if math.Abs(p.rate-c.want) > 0.01 {
 				t.Errorf("rate %.2f, want %.2f", p.rate, c.want)
 			}
@@ -597,7 +597,7 @@
 }
 
 func TestPaceCutsAgain(t *testing.T) {
-	start := pace{rate: 10, lastCut: 10 * sec, lastChange: 10 * sec}
+	start := rateController{rate: 10, lastDecrease: 10 * sec, lastChange: 10 * sec}
 	for _, c := range []struct {
 		name      string
 		now, sent time.Duration
@@ -609,27 +609,27 @@
 		{"after both", 11 * sec, 10001 * ms, 7},
 	} {
 		p := start
-		p.onRefusal(c.now, c.sent, 0, 2, 1, minPace)
+		p.onRefusal(c.now, c.sent, 0, 2, 1, minRate)
 		if math.Abs(p.rate-c.want) > 1e-9 {
 			t.Errorf("%s: rate %.2f, want %.2f", c.name, p.rate, c.want)
 		}
 	}
 	p := start
 	for i := range 100 {
-		p.onRefusal(time.Duration(20+2*i)*sec, time.Duration(19+2*i)*sec, 0, 2, 1, minPace)
+		p.onRefusal(time.Duration(20+2*i)*sec, time.Duration(19+2*i)*sec, 0, 2, 1, minRate)
 	}
-	if p.rate != minPace {
+	if p.rate != minRate {
 		t.Errorf("rate %.3f after many cuts, want the minimum", p.rate)
 	}
-	p.onRefusal(500*sec, 499*sec, 12, 2, 1, minPace)
+	p.onRefusal(500*sec, 499*sec, 12, 2, 1, minRate)
 	if p.rate != 3 {
 		t.Errorf("rate %.3f at a limit listed as 12 for two, want half of this sender's part", p.rate)
 	}
 }
 
 func TestPaceClimbs(t *testing.T) {
-	cut := pace{rate: 10}
-	cut.onRefusal(10*sec, 9*sec, 0, 2, 1, minPace)
+	cut := rateController{rate: 10}
+	cut.onRefusal(10*sec, 9*sec, 0, 2, 1, minRate)
 	for _, c := range []struct {
 		name   string
 		waited bool
@@ -637,18 +637,18 @@
 		now    time.Duration
 		want   float64
 	}{
-		{"a step of a tenth of the rate before the cut", true, 0, 10*sec + climbInterval, 8},
-		{"not before the interval", true, 0, 10*sec + climbInterval - ms, 7},
+		{"a step of a tenth of the rate before the cut", true, 0, 10*sec + increaseInterval, 8},
+		{"not before the interval", true, 0, 10*sec + increaseInterval - ms, 7},
 		{"not without a message waiting", false, 0, 20 * sec, 7},
-		{"the clock restarts at the end of a wait", true, sec, 11*sec + climbInterval - ms, 7},
-		{"and runs from there", true, sec, 11*sec + climbInterval, 8},
+		{"the clock restarts at the end of a wait", true, sec, 11*sec + increaseInterval - ms, 7},
+		{"and runs from there", true, sec, 11*sec + increaseInterval, 8},
 	} {
 		p := cut
 		if c.waited {
-			p.lastWaited = c.now
+			p.lastLimited = c.now
 		}
 		if c.wait > 0 {
-			p.onWait(10*sec + c.wait)
+			p.onRetryAfter(10*sec + c.wait)
 		}
 		p.onSuccess(c.now)
 		if math.Abs(p.rate-c.want) > 1e-9 {
@@ -661,18 +661,18 @@
 }
 
 func TestPaceLapses(t *testing.T) {
-	p := pace{rate: 5, lastRefusal: 10 * sec, next: 30 * sec}
-	p.lapse(10*sec + paceLapse - ms)
+	p := rateController{rate: 5, lastRefusal: 10 * sec, nextSend: 30 * sec}
+	p.expire(10*sec + limitExpiry - ms)
 	if p.rate == 0 {
 		t.Error("lapsed early")
 	}
-	p.lastWaited = 20 * sec
-	p.lapse(10*sec + paceLapse)
+	p.lastLimited = 20 * sec
+	p.expire(10*sec + limitExpiry)
 	if p.rate == 0 {
 		t.Error("lapsed though messages wait for it: the backlog would go out in one burst")
 	}
-	p.lapse(20*sec + paceLapse)
-	if p.rate != 0 || p.next != 0 {
+	p.expire(20*sec + limitExpiry)
+	if p.rate != 0 || p.nextSend != 0 {
 		t.Error("still bound after the quiet time")
 	}
 }
@@ -680,7 +680,7 @@
 func TestPaceSpacesCallsNotMessages(t *testing.T) {
 	b := newBench(t, nil, Entry{Endpoint: 11, Destination: 1, Kind: 2})
 	ep := b.s.endpoint(11)
-	ep.lane.pace.rate, ep.lane.pace.next, ep.lane.pace.lastRefusal = 2, b.now+sec, b.now
+	ep.limitScope.controller.rate, ep.limitScope.controller.nextSend, ep.limitScope.controller.lastRefusal = 2, b.now+sec, b.now
 	for range 6 {
 		b.take(safe)
 	}
@@ -697,7 +697,7 @@
 	if got := sends(b.wait(20 * ms)); len(got) != 2 {
 		t.Errorf("%d messages in the second call, want 2", len(got))
 	}
-	if ep.lane.pace.lastWaited == 0 {
+	if ep.limitScope.controller.lastLimited == 0 {
 		t.Error("messages waited for the pace, and it was not noted")
 	}
 }
@@ -728,7 +728,7 @@
 		{"no connection in a row", []Outcome{ConnectError, ConnectError, ConnectError, ConnectError}, probation},
 		{"time-outs in a row", []Outcome{TimedOut, TimedOut, TimedOut, TimedOut}, probation},
 		{"an answer between", []Outcome{Errored, Errored, Errored, OK, Errored, Errored, Errored}, healthy},
-		{"refusals are the pace's", []Outcome{Full, Full}, healthy},
+		{"refusals are the pace's", []Outcome{Refused, Refused}, healthy},
 	} {
 		b := newBench(t, nil)
 		b.serve(2, safe, 11)
@@ -736,7 +736,7 @@
 		for _, o := range c.outcomes {
 			b.now += 10 * ms
 			b.s.now = b.now
-			b.s.judge(b.made(11, safe, b.now-5*ms), Ended{Outcome: o, Elapsed: 5 * ms})
+			b.s.assessOutcome(b.made(11, safe, b.now-5*ms), AttemptEnded{Outcome: o, Elapsed: 5 * ms})
 		}
 		if ep.health != c.want {
 			t.Errorf("%s: health %d, want %d", c.name, ep.health, c.want)
@@ -748,14 +748,14 @@
 	b := newBench(t, nil)
 	b.serve(3, safe, 11)
 	id, _ := b.take(safe)
-	b.end(id, 0, 11, Full, withWait(longWait+sec))
-	if ep := b.s.endpoint(11); ep.health != ramping || ep.since != b.now+longWait+sec {
-		t.Errorf("health %d since %v: a wait beyond a limit's own did not count as shut until its end", ep.health, ep.since)
+	b.end(id, 0, 11, Refused, withWait(longRetryAfter+sec))
+	if ep := b.s.endpoint(11); ep.health != slowStart || ep.healthSince != b.now+longRetryAfter+sec {
+		t.Errorf("health %d since %v: a wait beyond a limit's own did not count as shut until its end", ep.health, ep.healthSince)
 	}
 	b = newBench(t, nil)
 	b.serve(3, safe, 11)
 	b.take(safe)
-	b.run(refusalSpan+4*sec, always(Full, 10*ms))
+	b.run(outageRefusalSpan+4*sec, always(Refused, 10*ms))
 	if b.s.endpoint(11).health != probation {
 		t.Error("refusals only, over seconds, did not count as shut")
 	}
@@ -784,10 +784,10 @@
 		b := newBench(t, nil)
 		b.serve(20, safe, 11)
 		for range cures {
-			b.s.cured.add(b.now, deliveredMemory, 1)
+			b.s.brokenConnections.add(b.now, trafficSpan, 1)
 		}
 		b.take(safe)
-		out := b.wait(minLate + 200*ms)
+		out := b.wait(minLateAfter + 200*ms)
 		if got, want := len(pick[Cancel](out)) > 0, cures > 1; got != want {
 			t.Errorf("after %d cured silences: renewed at the first late silence %v, want %v", cures, got, want)
 		}
@@ -803,7 +803,7 @@
 	b := newBench(t, nil)
 	b.serve(20, safe, 11)
 	_, out := b.take(keyed)
-	if got := sends(out)[0].Timeout; got <= 0 || got > b.s.set.Classes[keyed].Window/2 {
+	if got := sends(out)[0].Timeout; got <= 0 || got > b.s.settings.Classes[keyed].Window/2 {
 		t.Errorf("timed out after %v, want a time in the first half of the window", got)
 	}
 	if got := pick[Cancel](b.wait(time.Second)); len(got) > 0 {
@@ -849,31 +849,31 @@
 	b := newBench(t, nil)
 	b.serve(10, safe, 11)
 	ep := b.s.endpoint(11)
-	ep.failing = b.now
-	b.s.suspend(ep, Reset, CauseFailures)
+	ep.failingSince = b.now
+	b.s.startProbation(ep, Reset, CauseFailures)
 	b.wait(6 * sec)
 	b.answered(11, safe, 0)
-	if ep.health != ramping {
+	if ep.health != slowStart {
 		t.Fatalf("health %d after a trial went well, want ramping", ep.health)
 	}
-	ep.base = 20 // else the gap that all senders' trials keep is shorter
-	cold := b.s.gap(ep)
+	ep.preOutageRate = 20 // else the gap that all senders' trials keep is shorter
+	cold := b.s.callInterval(ep)
 	b.s.now += 5 * sec
-	mean := b.s.gap(ep)
+	mean := b.s.callInterval(ep)
 	if got := cold.Seconds() / mean.Seconds(); math.Abs(got-2) > 0.01 { // cold share 0.2, halfway 0.6, 0.4 on the way
 		t.Errorf("gap %v cold and %v with no call until halfway, want half", cold, mean)
 	}
-	ep.charged = b.s.now
-	if got := cold.Seconds() / b.s.gap(ep).Seconds(); math.Abs(got-3) > 0.01 {
-		t.Errorf("gap %v cold and %v from halfway on, want a third", cold, b.s.gap(ep))
+	ep.lastCharged = b.s.now
+	if got := cold.Seconds() / b.s.callInterval(ep).Seconds(); math.Abs(got-3) > 0.01 {
+		t.Errorf("gap %v cold and %v from halfway on, want a third", cold, b.s.callInterval(ep))
 	}
 	b.s.now += 6 * sec
 	b.answered(11, safe, 0)
 	if ep.health != healthy {
 		t.Errorf("health %d after the warm-up, want healthy", ep.health)
 	}
-	for range failStreak { // the ramp is judged like the rest
-		b.s.failed(ep, b.s.now, Reset)
+	for range outageFailures { // the ramp is judged like the rest
+		b.s.onFailure(ep, b.s.now, Reset)
 	}
 	if ep.health != probation {
 		t.Error("failures after the ramp did not start probation")
@@ -883,7 +883,7 @@
 func TestAnswersFromBeforeTheOutageDoNotStartTheRamp(t *testing.T) {
 	b := newBench(t, nil)
 	ep := b.s.endpoint(11)
-	b.s.suspend(ep, Reset, CauseFailures)
+	b.s.startProbation(ep, Reset, CauseFailures)
 	b.answered(11, safe, sec)
 	if ep.health != probation {
 		t.Error("an answer to an old call ended the probation")
@@ -899,7 +899,7 @@
 		_, out := b.take(safe)
 		n += len(sends(out))
 	}
-	if want := int(laneShare * 10); n != want {
+	if want := int(maxScopeSlotShare * 10); n != want {
 		t.Errorf("%d calls out on one lane, want %d of 10 slots", n, want)
 	}
 	if out := b.step(Arrived{ID: "x", Destination: 2, TimeLeft: 16 * sec}); len(sends(out)) != 1 {
@@ -912,7 +912,7 @@
 		Entry{Endpoint: 21, Destination: 2})
 	b.take(once)
 	b.take(once)
-	b.wait(patience*firstLate + sec)
+	b.wait(timeoutFactor*initialLateAfter + sec)
 	out := b.step(Arrived{ID: "x", Destination: 2, TimeLeft: 16 * sec})
 	if got := pick[Cancel](out); len(got) != 1 {
 		t.Fatalf("cancelled %v, want the oldest stuck call", got)
@@ -942,9 +942,9 @@
 
 func TestRefusalAdvises(t *testing.T) {
 	for _, may := range []bool{true, false} {
-		b := newBench(t, func(s *Settings) { s.MayAdvise, s.MaxAttempts = may, 1 })
+		b := newBench(t, func(s *Settings) { s.MaySendRetryAfter, s.MaxAttempts = may, 1 })
 		id, _ := b.take(safe)
-		out := pick[Refuse](b.end(id, 0, 11, Full, withWait(1500*ms)))
+		out := pick[Refuse](b.end(id, 0, 11, Refused, withWait(1500*ms)))
 		if len(out) != 1 {
 			t.Fatal("no refusal")
 		}
@@ -973,7 +973,7 @@
 		halving, linear float64
 	}{{0, 2, 2}, {2 * sec, 2, 2}, {4 * sec, 1, 2 * (1 - 0.6*2/14)}, {15 * sec, 0.8, 2 * (1 - 0.6*13/14)}, {16 * sec, 0, 0}} {
 		for _, halving := range []bool{true, false} {
-			b.s.set.LateHalving = halving
+			b.s.settings.LateHalving = halving
 			want := c.linear
 			if halving {
 				want = c.halving
@@ -996,16 +996,16 @@
 		t.Errorf("weights %.2f within and %.2f beyond the share", high, low)
 	}
 	b.step(Arrived{ID: b.arrive(safe), Destination: 1, Tenant: 2, TimeLeft: 16 * sec})
-	if nobody, alone := b.s.tenantWeight(2), newBench(t, nil).s.tenantWeight(0); nobody != b.s.set.OverShareWorth || alone != 1 {
-		t.Errorf("weights %.2f of nobody and %.2f where there are no tenants, want %.2f and 1", nobody, alone, b.s.set.OverShareWorth)
+	if nobody, alone := b.s.tenantWeight(2), newBench(t, nil).s.tenantWeight(0); nobody != b.s.settings.OverShareWorth || alone != 1 {
+		t.Errorf("weights %.2f of nobody and %.2f where there are no tenants, want %.2f and 1", nobody, alone, b.s.settings.OverShareWorth)
 	}
 }
 
 func TestTrialPrefersWhatMayBeRepeated(t *testing.T) {
 	b := newBench(t, nil)
-	b.s.suspend(b.s.endpoint(11), Errored, CauseFailures)
-	b.s.endpoint(11).charged = b.now
-	b.s.endpoint(11).failing = b.now - 10*sec
+	b.s.startProbation(b.s.endpoint(11), Errored, CauseFailures)
+	b.s.endpoint(11).lastCharged = b.now
+	b.s.endpoint(11).failingSince = b.now - 10*sec
 	b.take(once)
 	id, _ := b.take(safe)
 	if out := sends(b.wait(2*sec + 5*ms)); len(out) != 1 || out[0].ID != id {
@@ -1014,16 +1014,16 @@
 }
 
 func TestAskedRegistryIsWatchedAndAskedAgain(t *testing.T) {
-	b := newBench(t, func(s *Settings) { s.AskRegistry, s.AskEvery = true, 10*sec })
+	b := newBench(t, func(s *Settings) { s.WatchesRegistry, s.WatchInterval = true, 10*sec })
 	if len(pick[Watch](b.log)) != 1 {
 		t.Fatal("not watched from the start")
 	}
-	b.step(ListFailed{})
+	b.step(DiscoveryFailed{})
 	if got := len(pick[Watch](b.wait(5 * sec))); got != 1 {
 		t.Errorf("asked %d times after a failure, want once", got)
 	}
 	b = newBench(t, nil)
-	b.step(ListFailed{})
+	b.step(DiscoveryFailed{})
 	if got := len(pick[Watch](append(b.log, b.wait(5*sec)...))); got != 0 {
 		t.Error("watched a registry that pushes")
 	}
@@ -1032,8 +1032,8 @@
 func TestOutOfSlotsIsNoFault(t *testing.T) {
 	b := newBench(t, nil)
 	id, _ := b.take(once)
-	out := b.end(id, 0, 11, NotSent, func(e *Ended) { e.NoSlot = true })
-	if b.s.endpoint(11).fails != 0 || finals(out) != 0 {
+	out := b.end(id, 0, 11, NotSent, func(e *AttemptEnded) { e.NoFreeSlot = true })
+	if b.s.endpoint(11).consecutiveFailures != 0 || finals(out) != 0 {
 		t.Error("a call that never left counted against endpoint or message")
 	}
 }
@@ -1077,18 +1077,18 @@
 		answers int           // at the kind, since
 		want    int           // closed after one more
 	}{
-		{"a crowd at its start", 300, 0, startOpen - 2, 1},
-		{"a crowd that was never turned away", 300, 0, startOpen - 1, 0},
-		{"a crowd whose connect timed out", 300, sec, startOpen - 1, 0},
+		{"a crowd at its start", 300, 0, keepOpenAnswers - 2, 1},
+		{"a crowd that was never turned away", 300, 0, keepOpenAnswers - 1, 0},
+		{"a crowd whose connect timed out", 300, sec, keepOpenAnswers - 1, 0},
 		{"a crowd, turned away", 300, 50 * ms, 0, 1},
-		{"a crowd, connects nearly proven again", 300, 50 * ms, provenOpen - 2, 1},
-		{"a crowd, connects proven again", 300, 50 * ms, provenOpen - 1, 0},
+		{"a crowd, connects nearly proven again", 300, 50 * ms, keepOpenAnswersAfterRefusal - 2, 1},
+		{"a crowd, connects proven again", 300, 50 * ms, keepOpenAnswersAfterRefusal - 1, 0},
 		{"few senders", 3, 50 * ms, 0, 0},
 	} {
 		b := newBench(t, func(s *Settings) { s.Senders = c.senders })
 		if c.fails > 0 {
-			b.s.failed(b.s.endpoint(11), b.now-c.fails, ConnectError)
-			b.s.endpoint(11).fails = 0 // this is of connections; doubt of the endpoint has tests of its own
+			b.s.onFailure(b.s.endpoint(11), b.now-c.fails, ConnectError)
+			b.s.endpoint(11).consecutiveFailures = 0 // this is of connections; doubt of the endpoint has tests of its own
 		}
 		for range c.answers {
 			b.answered(11, safe, 50*ms)
@@ -1114,13 +1114,13 @@
 		}
 		return reply{o: OK, after: 100 * ms}
 	}
-	b.end("m2", 0, 11, ConnectError, func(e *Ended) { e.NoPlace = true })
+	b.end("m2", 0, 11, ConnectError, func(e *AttemptEnded) { e.ConnectionLimitReached = true })
 	at := b.run(6*sec, script)
 	if len(at) < 4 || len(at) > 12 {
 		t.Errorf("%d connectRefusals in 6 s at a call of 0.1 s, want 4 to 12", len(at))
 	}
-	if ep := b.s.endpoint(11); ep.health != healthy || ep.fails != 0 {
-		t.Errorf("health %v after %d failures, want it taken for no outage", ep.health, ep.fails)
+	if ep := b.s.endpoint(11); ep.health != healthy || ep.consecutiveFailures != 0 {
+		t.Errorf("health %v after %d failures, want it taken for no outage", ep.health, ep.consecutiveFailures)
 	}
 	full = false
 	b.run(3*sec, script)
@@ -1136,9 +1136,9 @@
 func TestScarcePlacesAreShared(t *testing.T) {
 	for _, c := range []struct {
 		senders, held, want int
-	}{{300, 1, 1}, {300, perPlace - 1, 1}, {300, perPlace, 2}, {3, perPlace - 1, perPlace - 1}} {
+	}{{300, 1, 1}, {300, messagesPerConnection - 1, 1}, {300, messagesPerConnection, 2}, {3, messagesPerConnection - 1, messagesPerConnection - 1}} {
 		b := newBench(t, func(s *Settings) { s.Senders = c.senders })
-		b.s.connectionLimitReached(b.s.endpoint(11))
+		b.s.onConnectionLimit(b.s.endpoint(11))
 		b.wait(10 * sec)
 		var events []Event
 		for range c.held {
@@ -1148,7 +1148,7 @@
 		if n := len(sends(out)); n != c.want {
 			t.Errorf("%d senders, %d messages: %d calls at once, want %d", c.senders, c.held, n, c.want)
 		}
-		if c.held == perPlace-1 && c.senders > fewSenders { // the connection goes on to the next message before it is yielded
+		if c.held == messagesPerConnection-1 && c.senders > smallFleet { // the connection goes on to the next message before it is yielded
 			out = b.end("m1", 0, 11, OK)
 			if len(sends(out)) != 1 || len(pick[CloseIdle](out)) != 0 {
 				t.Errorf("after an answer %d calls and %d closed, want the next one on the same connection",
@@ -1183,8 +1183,8 @@
 		b := newBench(t, func(s *Settings) { s.Senders = c.senders }, Entry{Endpoint: 11, Destination: 1, Kind: 1},
 			Entry{Endpoint: 12, Destination: 1, Kind: 1}, Entry{Endpoint: 13, Destination: 1, Kind: 1})
 		id, _ := b.take(safe)
-		pause := seconds(b.s.refusedPause(&b.s.set.Classes[safe]))
-		out := append(b.end(id, 0, 11, Full), b.wait(pause/2-5*ms)...)
+		pause := seconds(b.s.refusalPause(&b.s.settings.Classes[safe]))
+		out := append(b.end(id, 0, 11, Refused), b.wait(pause/2-5*ms)...)
 		if got := len(sends(out)) > 0; got != c.want {
 			t.Errorf("%d senders: sent on within half the pause %v, want %v", c.senders, got, c.want)
 		}
@@ -1199,10 +1199,10 @@
 	for _, senders := range []int{3, 300} {
 		b := newBench(t, func(s *Settings) { s.Senders = senders })
 		id, _ := b.take(safe)
-		b.end(id, 0, 11, Full)
-		p := b.s.endpoint(11).lane.pace
-		if gap := seconds(1 / p.rate); (p.next < b.now+gap) != (senders > fewSenders) {
-			t.Errorf("%d senders: first gap %v of %v, want a whole one at most, a part of it in a crowd", senders, p.next-b.now, gap)
+		b.end(id, 0, 11, Refused)
+		p := b.s.endpoint(11).limitScope.controller
+		if gap := seconds(1 / p.rate); (p.nextSend < b.now+gap) != (senders > smallFleet) {
+			t.Errorf("%d senders: first gap %v of %v, want a whole one at most, a part of it in a crowd", senders, p.nextSend-b.now, gap)
 		}
 	}
 }
@@ -1225,7 +1225,7 @@
 		b.step(Arrived{ID: id, Destination: 2, Class: once, TimeLeft: 16 * sec})
 		id = b.arrive(safe)
 		b.step(Arrived{ID: id, Destination: 2, Class: safe, TimeLeft: 16 * sec})
-		cancels := pick[Cancel](b.wait(haste*late + late/2))
+		cancels := pick[Cancel](b.wait(longOverdueFactor*late + late/2))
 		if got := len(cancels) > 0 && cancels[0].ID == out; got != c.want {
 			t.Errorf("%d senders, class %d: called off %v, want %v", c.senders, c.class, cancels, c.want)
 		}
@@ -1238,9 +1238,9 @@
 	pause := func(entries ...Entry) time.Duration {
 		b := newBench(t, crowded, entries...)
 		b.step(Arrived{ID: "m", Destination: 1, Class: safe, TimeLeft: 16 * sec})
-		ep := b.s.held["m"].out[0].call.ep
+		ep := b.s.held["m"].inFlight[0].call.endpoint
 		b.end("m", 0, ep.id, ConnectError)
-		return b.s.destination(1).retryAt - b.now
+		return b.s.destination(1).retryNotBefore - b.now
 	}
 	alone, beside := pause(Entry{Endpoint: 11, Destination: 1}),
 		pause(Entry{Endpoint: 11, Destination: 1}, Entry{Endpoint: 12, Destination: 1})
@@ -1255,37 +1255,37 @@
 		b := newBench(t, func(s *Settings) { s.Senders = c.senders }, Entry{Endpoint: 11, Destination: 1, Kind: c.kind})
 		id, _ := b.take(safe)
 		b.end(id, 0, 11, ConnectError)
-		b.step(Listed{Entries: []Entry{{Endpoint: 12, Destination: 1, Kind: c.kind}}})
-		if got := b.s.endpoint(12).fails; got != c.want {
+		b.step(ListUpdate{Entries: []Entry{{Endpoint: 12, Destination: 1, Kind: c.kind}}})
+		if got := b.s.endpoint(12).consecutiveFailures; got != c.want {
 			t.Errorf("%d senders, kind %d: the new endpoint counts %d failures, want %d", c.senders, c.kind, got, c.want)
 		}
 	}
 }
 
 // begun hands in a message that an earlier process had made one attempt for, which may have run.
-func (b *bench) begun(class int, before Before) (MessageID, []Action) {
+func (b *bench) begun(class int, before PriorAttempts) (MessageID, []Action) {
 	id := b.arrive(class)
-	return id, b.step(Arrived{ID: id, Destination: 1, Class: class, TimeLeft: 10 * sec, Before: before})
+	return id, b.step(Arrived{ID: id, Destination: 1, Class: class, TimeLeft: 10 * sec, Prior: before})
 }
 
 // What may have run before a restart is held to the same rules as what may have run since.
 func TestBegunBeforeARestart(t *testing.T) {
-	ran := Before{Attempts: 1, MayRun: true, Ago: sec, At: 11}
+	ran := PriorAttempts{Count: 1, MayHaveRun: true, Age: sec, Endpoint: 11}
 	for name, c := range map[string]struct {
 		class  int
-		before Before
+		before PriorAttempts
 		sends  int
 		fails  int
 	}{
 		"at most once that may have run": {once, ran, 0, 1},
-		"at most once that never ran":    {once, Before{Attempts: 1}, 1, 0},
+		"at most once that never ran":    {once, PriorAttempts{Count: 1}, 1, 0},
 		"safe":                           {safe, ran, 1, 0},
 		"keyed within its window":        {keyed, ran, 1, 0},
-		"keyed after its window":         {keyed, Before{Attempts: 1, MayRun: true, Ago: 6 * sec, At: 11}, 0, 0},
+		"keyed after its window":         {keyed, PriorAttempts{Count: 1, MayHaveRun: true, Age: 6 * sec, Endpoint: 11}, 0, 0},
 		"keyed by zone, same zone":       {keyedZone, ran, 1, 0},
-		"keyed by zone, place unknown":   {keyedZone, Before{Attempts: 1, MayRun: true, Ago: sec, At: 99}, 0, 0},
-		"keyed, place unknown":           {keyed, Before{Attempts: 1, MayRun: true, Ago: sec}, 1, 0},
-		"attempts used up":               {safe, Before{Attempts: 6}, 0, 0},
+		"keyed by zone, place unknown":   {keyedZone, PriorAttempts{Count: 1, MayHaveRun: true, Age: sec, Endpoint: 99}, 0, 0},
+		"keyed, place unknown":           {keyed, PriorAttempts{Count: 1, MayHaveRun: true, Age: sec}, 1, 0},
+		"attempts used up":               {safe, PriorAttempts{Count: 6}, 0, 0},
 	} {
 		_, out := newBench(t, nil).begun(c.class, c.before)
 		if got := len(sends(out)); got != c.sends {
@@ -1304,7 +1304,7 @@
 		for failed := range 5 {
 			for seed := range uint64(5) {
 				b := newBench(t, func(s *Settings) { s.Senders, s.Seed = senders, seed })
-				events := []Event{Arrived{ID: b.arrive(safe), Destination: 1, Class: safe, TimeLeft: 12 * sec, Before: Before{Attempts: failed, Failed: failed}}}
+				events := []Event{Arrived{ID: b.arrive(safe), Destination: 1, Class: safe, TimeLeft: 12 * sec, Prior: PriorAttempts{Count: failed, Failed: failed}}}
 				for range 7 {
 					events = append(events, Arrived{ID: b.arrive(safe), Destination: 1, Class: safe, TimeLeft: 12 * sec})
 				}
@@ -1321,7 +1321,7 @@
 // Attempts go on being counted from where the earlier process stopped.
 func TestAttemptsCountOverARestart(t *testing.T) {
 	b := newBench(t, nil)
-	id, out := b.begun(safe, Before{Attempts: 5})
+	id, out := b.begun(safe, PriorAttempts{Count: 5})
 	if len(sends(out)) != 1 {
 		t.Fatalf("%d sends, want the last one allowed", len(sends(out)))
 	}
@@ -1334,7 +1334,7 @@
 // A message whose time ran out while no process held it ends in the step that takes it up.
 func TestOutOfTimeAfterARestart(t *testing.T) {
 	b := newBench(t, nil)
-	out := b.step(Arrived{ID: "x", Destination: 1, Class: safe, TimeLeft: -sec, Before: Before{Attempts: 1}})
+	out := b.step(Arrived{ID: "x", Destination: 1, Class: safe, TimeLeft: -sec, Prior: PriorAttempts{Count: 1}})
 	if finals(out) != 1 || len(sends(out)) != 0 {
 		t.Errorf("got %v, want one end", out)
 	}
@@ -1344,7 +1344,7 @@
 func TestWaitToldWithAnAnswer(t *testing.T) {
 	b := newBench(t, nil)
 	id, _ := b.take(safe)
-	b.end(id, 0, 11, OK, func(e *Ended) { e.Wait = 2 * sec })
+	b.end(id, 0, 11, OK, func(e *AttemptEnded) { e.RetryAfter = 2 * sec })
 	_, out := b.take(safe)
 	if n := len(sends(append(out, b.wait(2*sec-10*ms)...))); n != 0 {
 		t.Errorf("%d sends during the wait", n)
@@ -1359,7 +1359,7 @@
 func TestEndingHoldsBackWhatMayNotBeRepeated(t *testing.T) {
 	b := newBench(t, nil)
 	b.serve(3, safe, 11) // answers in 100 ms: late after half a second
-	b.step(Ending{After: 2 * sec})
+	b.step(ShuttingDown{After: 2 * sec})
 	if _, out := b.take(once); len(sends(out)) != 1 {
 		t.Errorf("with time enough: %v, want it sent", out)
 	}
@@ -1382,14 +1382,14 @@
 		old, fresh := EndpointID(11+i), EndpointID(12+i)
 		id := b.arrive(ordered)
 		for _, a := range b.step(Arrived{ID: id, Destination: 1, Class: ordered, OrderKey: string(id), TimeLeft: 16 * sec},
-			Listed{Entries: []Entry{{Endpoint: fresh, Destination: 1}, {Endpoint: old, Destination: 1, Gone: true}}}) {
+			ListUpdate{Entries: []Entry{{Endpoint: fresh, Destination: 1}, {Endpoint: old, Destination: 1, Gone: true}}}) {
 			switch a := a.(type) {
 			case Send:
 				if a.Endpoint != fresh {
 					t.Fatalf("sent to %d, which is gone", a.Endpoint)
 				}
-				b.step(Ended{ID: id, Endpoint: fresh, Outcome: OK, Over: true})
-			case Forgot:
+				b.step(AttemptEnded{ID: id, Endpoint: fresh, Outcome: OK, Finished: true})
+			case EndpointForgotten:
 				forgotten++
 			}
 		}
@@ -1398,10 +1398,10 @@
 	if n := len(b.s.endpoints); n > 40 || forgotten != 3001-n {
 		t.Errorf("%d endpoints kept of 3001, %d forgotten", n, forgotten)
 	}
-	if n := len(b.s.destination(1).endpoints) + len(b.s.gone); n > 80 {
+	if n := len(b.s.destination(1).endpoints) + len(b.s.departures); n > 80 {
 		t.Errorf("%d endpoints kept in lists", n)
 	}
-	if n := len(b.s.turns); n > 200 {
+	if n := len(b.s.orderQueues); n > 200 {
 		t.Errorf("%d keys kept of 3000", n)
 	}
 	if n := len(b.s.held) + len(b.s.attempts) + len(b.s.calls); n != 0 {
@@ -1413,43 +1413,43 @@
 // of its destination, whose lane a new one takes over.
 func TestGoneEndpointsInUseAreRemembered(t *testing.T) {
 	other := Entry{Endpoint: 12, Destination: 1, Zone: 1}
-	gone := Listed{Entries: []Entry{{Endpoint: 11, Destination: 1, Gone: true}}}
-	forgets := func(actions []Action) bool { return slices.Contains(actions, Action(Forgot{Endpoint: 11})) }
+	gone := ListUpdate{Entries: []Entry{{Endpoint: 11, Destination: 1, Gone: true}}}
+	forgets := func(actions []Action) bool { return slices.Contains(actions, Action(EndpointForgotten{Endpoint: 11})) }
 
 	b := newBench(t, nil)
 	id, _ := b.take(once)
 	b.step(gone)
-	b.wait(goneMemory)
-	if forgets(b.step(Listed{Entries: []Entry{other}})) {
+	b.wait(goneRetention)
+	if forgets(b.step(ListUpdate{Entries: []Entry{other}})) {
 		t.Error("forgotten with a call out")
 	}
-	b.step(Ended{ID: id, Endpoint: 11, Outcome: OK, Over: true})
-	if !forgets(b.step(Listed{})) {
+	b.step(AttemptEnded{ID: id, Endpoint: 11, Outcome: OK, Finished: true})
+	if !forgets(b.step(ListUpdate{})) {
 		t.Error("not forgotten after its call ended")
 	}
 
 	b = newBench(t, nil, Entry{Endpoint: 11, Destination: 1}, other)
-	b.s.set.Classes[keyedZone].Deadline = 100 * sec
+	b.s.settings.Classes[keyedZone].Deadline = 100 * sec
 	b.step(Arrived{ID: "k", Destination: 1, Class: keyedZone, TimeLeft: 100 * sec,
-		Before: Before{Attempts: 1, MayRun: true, At: 11}})
+		Prior: PriorAttempts{Count: 1, MayHaveRun: true, Endpoint: 11}})
 	b.step(gone)
-	b.s.held["k"].mayRun = never - sec // so that its window does not end it
-	b.now += goneMemory
-	if forgets(b.step(Listed{})) {
+	b.s.held["k"].mayHaveRunSince = never - sec // so that its window does not end it
+	b.now += goneRetention
+	if forgets(b.step(ListUpdate{})) {
 		t.Error("forgotten with a message that may have run there")
 	}
 
 	b = newBench(t, nil)
-	lane := b.s.endpoint(11).lane
+	lane := b.s.endpoint(11).limitScope
 	b.step(gone)
-	b.now += 2 * goneMemory
-	if forgets(b.step(Listed{})) {
+	b.now += 2 * goneRetention
+	if forgets(b.step(ListUpdate{})) {
 		t.Error("the last endpoint of a destination is forgotten")
 	}
-	if !forgets(b.step(Listed{Entries: []Entry{other}})) || b.s.endpoint(12).lane != lane {
+	if !forgets(b.step(ListUpdate{Entries: []Entry{other}})) || b.s.endpoint(12).limitScope != lane {
 		t.Error("a new endpoint does not take over from the last one")
 	}
-	if b.step(Listed{Entries: []Entry{{Endpoint: 11, Destination: 1}}}); !b.s.endpoint(11).listed {
+	if b.step(ListUpdate{Entries: []Entry{{Endpoint: 11, Destination: 1}}}); !b.s.endpoint(11).inService {
 		t.Error("an endpoint that comes back is not taken up")
 	}
 }
@@ -1458,9 +1458,9 @@
 func TestGoneEndpointsAreNotCounted(t *testing.T) {
 	b := newBench(t, nil)
 	for i := range 5 {
-		b.step(Listed{Entries: []Entry{{Endpoint: EndpointID(12 + i), Destination: 1}, {Endpoint: EndpointID(11 + i), Gone: true}}})
+		b.step(ListUpdate{Entries: []Entry{{Endpoint: EndpointID(12 + i), Destination: 1}, {Endpoint: EndpointID(11 + i), Gone: true}}})
 	}
-	if n := b.s.destination(1).width(); n != 1 {
+	if n := b.s.destination(1).endpointCount(); n != 1 {
 		t.Errorf("a destination with one endpoint left counts %d", n)
 	}
 }
@@ -1471,11 +1471,11 @@
 	batched := Entry{Endpoint: 11, Destination: 1, Kind: 2}
 	b := newBench(t, nil, batched)
 	_, out := b.take(safe)
-	wait := b.s.set.Classes[safe].Aim / lingerPart
+	wait := b.s.settings.Classes[safe].Aim / batchWaitDivisor
 	if got := append(sends(out), sends(b.wait(wait-10*ms))...); len(got) != 0 {
 		t.Fatalf("%d sends of a lone message before its time", len(got))
 	}
-	got := sends(b.wait(pollEvery + 10*ms))
+	got := sends(b.wait(pollInterval + 10*ms))
 	if len(got) != 1 {
 		t.Fatalf("%d sends of a lone message in its time, want 1", len(got))
 	}
@@ -1510,10 +1510,10 @@
 	if _, out := b.take(safe); len(sends(out)) != 1 || sends(out)[0].Endpoint != 12 {
 		t.Errorf("sent %v, want it at the endpoint that takes the class", sends(out))
 	}
-	if b.s.shuns(ep, ordered) || !b.s.shuns(ep, safe) || b.s.lateAfter(ep, safe) >= b.s.lateAfter(ep, ordered) {
+	if b.s.breakerOpen(ep, ordered) || !b.s.breakerOpen(ep, safe) || b.s.lateAfter(ep, safe) >= b.s.lateAfter(ep, ordered) {
 		t.Error("want the swallowed class alone kept away, and alone fast")
 	}
-	if b.end(first, 0, 11, OK); b.s.shuns(ep, safe) {
+	if b.end(first, 0, 11, OK); b.s.breakerOpen(ep, safe) {
 		t.Error("still shunned after an answer")
 	}
 }
@@ -1547,7 +1547,7 @@
 		before := b.s.endpoint(11).latency
 		id, _ := b.take(safe)
 		b.now = b.s.wakeAt + stood
-		b.end(id, 0, 11, OK, func(e *Ended) { e.Elapsed = 300*ms + stood })
+		b.end(id, 0, 11, OK, func(e *AttemptEnded) { e.Elapsed = 300*ms + stood })
 		if learned := b.s.endpoint(11).latency != before; learned != (stood == 0) {
 			t.Errorf("stood still for %v: learned %v", stood, learned)
 		}
@@ -1557,8 +1557,8 @@
 // Notes are hints: one is not enough, as one call may be slow by itself, none lifts a wait or a drain, a halt by them is
 // bounded, and what they name may be unknown.
 func TestNotesOfOtherSenders(t *testing.T) {
-	ill := Told{Note{Endpoint: 11, Class: safe}}
-	drains := Listed{Entries: []Entry{{Endpoint: 12, Destination: 1, Draining: true}}}
+	ill := HintReceived{Hint{Endpoint: 11, Class: safe}}
+	drains := ListUpdate{Entries: []Entry{{Endpoint: 12, Destination: 1, Draining: true}}}
 	for _, c := range []struct {
 		name   string
 		events []Event
@@ -1568,10 +1568,10 @@
 		{"one", []Event{ill}, 11},
 		{"two", []Event{ill, ill}, 12},
 		{"two of an endpoint whose other one drains", []Event{drains, ill, ill}, 11},
-		{"of what is not known here", []Event{Told{Note{Endpoint: 99}}, Told{Note{Endpoint: 11, Class: 77}}, Told{Note{Endpoint: 11, Class: -1}}}, 11},
-		{"that it is shut", []Event{Told{Note{Endpoint: 11, Wait: time.Hour}}}, 0},
+		{"of what is not known here", []Event{HintReceived{Hint{Endpoint: 99}}, HintReceived{Hint{Endpoint: 11, Class: 77}}, HintReceived{Hint{Endpoint: 11, Class: -1}}}, 11},
+		{"that it is shut", []Event{HintReceived{Hint{Endpoint: 11, RetryAfter: time.Hour}}}, 0},
 	} {
-		b := newBench(t, func(s *Settings) { s.MayTell, s.Senders = true, 50 },
+		b := newBench(t, func(s *Settings) { s.MayShareHints, s.Senders = true, 50 },
 			Entry{Endpoint: 11, Destination: 1}, Entry{Endpoint: 12, Destination: 1})
 		b.answered(11, safe, 100*ms)
 		b.answered(12, safe, sec)
@@ -1583,7 +1583,7 @@
 		if got != c.want {
 			t.Errorf("%s: sent to %d, want %d", c.name, got, c.want)
 		}
-		if until := b.s.endpoint(11).lane.pace.haltUntil; until > b.now+maxTold {
+		if until := b.s.endpoint(11).limitScope.controller.notBefore; until > b.now+maxHintRetryAfter {
 			t.Errorf("%s: another sender's word halts for %v", c.name, until-b.now)
 		}
 	}
@@ -1595,14 +1595,14 @@
 		may         bool
 		heard, want int
 	}{{true, 0, 1}, {true, 1, 1}, {true, 2, 0}, {false, 0, 0}} {
-		b := newBench(t, func(s *Settings) { s.MayTell = c.may })
+		b := newBench(t, func(s *Settings) { s.MayShareHints = c.may })
 		b.take(safe)
-		early := len(pick[Tell](b.wait(haste * firstLate)))
+		early := len(pick[PublishHint](b.wait(longOverdueFactor * initialLateAfter)))
 		for range c.heard {
-			b.step(Told{Note{Endpoint: 11, Class: safe}})
+			b.step(HintReceived{Hint{Endpoint: 11, Class: safe}})
 		}
-		got := pick[Tell](b.wait(sec))
-		if early > 0 || len(got) != c.want || c.want == 1 && got[0] != (Tell{Note{Endpoint: 11, Class: safe}}) {
+		got := pick[PublishHint](b.wait(sec))
+		if early > 0 || len(got) != c.want || c.want == 1 && got[0] != (PublishHint{Hint{Endpoint: 11, Class: safe}}) {
 			t.Errorf("allowed %v, %d heard: told %d early and then %v, want %d", c.may, c.heard, early, got, c.want)
 		}
 	}
@@ -1614,7 +1614,7 @@
 	for d := range 10 {
 		entries = append(entries, Entry{Endpoint: EndpointID(10 + d), Destination: d})
 	}
-	b := newBench(t, func(s *Settings) { s.Senders, s.MayTell = 200, true }, entries...)
+	b := newBench(t, func(s *Settings) { s.Senders, s.MayShareHints = 200, true }, entries...)
 	send := func(why string, d, want int) {
 		t.Helper()
 		id := b.arrive(once)
@@ -1624,8 +1624,8 @@
 	}
 	send("well", 0, 1)
 	send("well", 1, 1)
-	b.wait(firstLate + 10*ms)
-	b.step(Told{Note{Endpoint: 17, Class: once}}, Told{Note{Endpoint: 17, Class: once}})
+	b.wait(initialLateAfter + 10*ms)
+	b.step(HintReceived{Hint{Endpoint: 17, Class: once}}, HintReceived{Hint{Endpoint: 17, Class: once}})
 	send("ill, with a fifth of the slots held by overdue calls", 0, 0)
 	send("ill by others' word", 7, 0)
 	send("well", 5, 1)
@@ -1637,13 +1637,13 @@
 		halving   bool
 		lateWorth float64
 		want      float64 // of the worth, after a pause from the aim on
-	}{{true, 0.4, 1 - refusedCost}, {false, 0.4, 1 - refusedCost}, {false, 1, 1}} {
+	}{{true, 0.4, 1 - refusalPauseCost}, {false, 0.4, 1 - refusalPauseCost}, {false, 1, 1}} {
 		b := newBench(t, func(s *Settings) {
 			s.LateHalving = c.halving
 			s.Classes = []Class{{Aim: 4 * sec, Deadline: 24 * sec, Worth: 1, LateWorth: c.lateWorth}}
 		})
-		m := &message{class: &b.s.set.Classes[0], deadline: 24 * sec}
-		pause := min(b.s.refusedPause(m.class), 19.9)
+		m := &message{class: &b.s.settings.Classes[0], deadline: 24 * sec}
+		pause := min(b.s.refusalPause(m.class), 19.9)
 		if after := b.s.worth(m, 4*sec+seconds(pause)); pause <= 0 || math.Abs(after-c.want) > 0.001 {
 			t.Errorf("halving %v, %v at the deadline: worth %.3f after a pause of %.1f s, want %.3f", c.halving, c.lateWorth, after, pause, c.want)
 		}
@@ -1659,19 +1659,19 @@
 		listed   float64
 		arrivals int     // in the last moment, which a span of 10 s counts as a tenth each
 		want     float64 // calls a second, before the cuts
-	}{{"rough", false, 2 * soloSenders, 0, 1}, {"exact", true, 2 * soloSenders, 0, 2}, {"little", true, 0.02 * soloSenders, 5, leastPart},
-		{"none listed", true, 0, 5, leastPart}, {"none listed, seldom", true, 0, 1, 1 / (0.8 * soloSenders)}} { // all may make two calls a window
+	}{{"rough", false, 2 * independentFleet, 0, 1}, {"exact", true, 2 * independentFleet, 0, 2}, {"little", true, 0.02 * independentFleet, 5, minShareRate},
+		{"none listed", true, 0, 5, minShareRate}, {"none listed, seldom", true, 0, 1, 1 / (0.8 * independentFleet)}} { // all may make two calls a window
 		b := newBench(t, func(s *Settings) {
-			s.Senders, s.RatesListed, s.RatesExact, s.OverloadFactor = soloSenders, true, c.exact, 4
+			s.Senders, s.RatesListed, s.RatesExact, s.OverloadFactor = independentFleet, true, c.exact, 4
 		},
 			Entry{Endpoint: 11, Destination: 1, ListedRate: c.listed})
 		for range c.arrivals {
-			b.s.destination(1).wanted.add(b.now, deliveredMemory, 1)
+			b.s.destination(1).arrivalRate.add(b.now, trafficSpan, 1)
 		}
 		b.s.now = b.now
 		ep := b.s.endpoint(11)
-		ep.health, ep.since, ep.charged = ramping, b.now, b.now
-		if got := 1 / (b.s.gap(ep).Seconds() * b.s.set.OverloadFactor * b.s.set.ColdShare); math.Abs(got-c.want) > 0.001 {
+		ep.health, ep.healthSince, ep.lastCharged = slowStart, b.now, b.now
+		if got := 1 / (b.s.callInterval(ep).Seconds() * b.s.settings.OverloadFactor * b.s.settings.ColdShare); math.Abs(got-c.want) > 0.001 {
 			t.Errorf("%s: %.3f a second, want %.3f", c.name, got, c.want)
 		}
 	}
@@ -1684,7 +1684,7 @@
 	for seed := range uint64(150) {
 		r := rand.New(rand.NewPCG(seed, 9))
 		between := func(low, high float64) float64 { return low * math.Pow(high/low, r.Float64()) }
-		senders := int(between(manySenders, 1000))
+		senders := int(between(largeFleet, 1000))
 		capacity, load := between(1, 200), between(0.2, 4)
 		outage := time.Duration(between(2, 60) * float64(sec))
 		set := testSettings()
@@ -1693,26 +1693,26 @@
 		sum := 0.0
 		const drawn = 1000 // senders that are looked at
 		s := New(set)
-		s.Step(100*sec, []Event{Listed{Whole: true, Entries: []Entry{{Endpoint: 11, Destination: 1, ListedRate: capacity}}}})
+		s.Step(100*sec, []Event{ListUpdate{Whole: true, Entries: []Entry{{Endpoint: 11, Destination: 1, ListedRate: capacity}}}})
 		ep := s.endpoint(11)
 		for range drawn {
-			ep.dest.wanted = meter{}
+			ep.destination.arrivalRate = decayingRate{}
 			first := time.Duration(r.ExpFloat64() / (load * capacity / float64(senders)) * float64(sec))
 			if first >= outage {
 				continue // it saw nothing
 			}
 			s.now = 100*sec + 60*sec + outage
-			ep.failing = s.now - outage + first
+			ep.failingSince = s.now - outage + first
 			for at := 100 * sec; at < s.now; at += time.Duration(r.ExpFloat64() / (load * capacity / float64(senders)) * float64(sec)) {
-				ep.dest.wanted.add(at, deliveredMemory, 1)
+				ep.destination.arrivalRate.add(at, trafficSpan, 1)
 			}
-			ep.dest.wanted.add(ep.failing, deliveredMemory, 1)
+			ep.destination.arrivalRate.add(ep.failingSince, trafficSpan, 1)
 			ep.health = probation
-			budget = set.OverloadFactor * capacity * s.warmth(ep) * window
-			sum += window / s.shareGap(ep).Seconds() * float64(senders) / drawn
+			budget = set.OverloadFactor * capacity * s.warmCapacity(ep) * window
+			sum += window / s.shareInterval(ep).Seconds() * float64(senders) / drawn
 		}
 		floor := 1.0 // calls a window that all together may always make
-		if most := budget*budgetPart(budget)*1.45 + floor; sum > most {
+		if most := budget*budgetFraction(budget)*1.45 + floor; sum > most {
 			t.Errorf("seed %d, %d senders, capacity %.1f, load %.2f, out for %v: %.1f calls a window in the mean, want %.1f at most", seed, senders, capacity, load, outage, sum, most)
 		}
 	}
@@ -1721,19 +1721,19 @@
 // A destination that one sender was told is shut is cold for all who hear of it: many that try once as it opens push it
 // over, the more so as each has only seen one refusal. Found on a drawn day of tas-members, fast_errors with heavy_tail.
 func TestAShutDestinationIsToldAndOpensCold(t *testing.T) {
-	tell := func(s *Settings) { s.MayTell, s.Senders, s.RatesListed, s.RatesExact = true, 200, true, true }
+	tell := func(s *Settings) { s.MayShareHints, s.Senders, s.RatesListed, s.RatesExact = true, 200, true, true }
 	entry := Entry{Endpoint: 11, Destination: 1, ListedRate: 10}
 	b := newBench(t, tell, entry)
 	id, _ := b.take(safe)
-	told := pick[Tell](b.end(id, 0, 11, Full, withWait(8*sec)))
-	if want := (Tell{Note{Endpoint: 11, Wait: 8 * sec}}); len(told) != 1 || told[0] != want {
+	told := pick[PublishHint](b.end(id, 0, 11, Refused, withWait(8*sec)))
+	if want := (PublishHint{Hint{Endpoint: 11, RetryAfter: 8 * sec}}); len(told) != 1 || told[0] != want {
 		t.Fatalf("told %v, want %v", told, want)
 	}
 	early, calls := 0, 0
 	const others = 100
 	for i := range others {
 		o := newBench(t, func(s *Settings) { tell(s); s.Seed = uint64(i) }, entry)
-		o.step(Told{told[0].Note})
+		o.step(HintReceived{told[0].Hint})
 		_, out := o.take(safe)
 		early += len(sends(append(out, o.wait(8*sec-10*ms)...)))
 		calls += len(sends(o.wait(sec)))
@@ -1748,13 +1748,13 @@
 // returns. Found on the hunted day h520c76 of kl-head-office.
 func TestTheLeastPaceHoldsForTheFirstRefusalInARow(t *testing.T) {
 	b := newBench(t, func(s *Settings) { s.Senders = 261 })
-	for i, want := range []float64{minPace, 0.7, 0.49, 0.343, minPace} {
+	for i, want := range []float64{minRate, 0.7, 0.49, 0.343, minRate} {
 		if i == 4 {
 			b.answered(11, safe, 0)
 		}
 		b.s.now += 2 * sec
-		b.s.refused(b.s.endpoint(11), b.s.now-10*ms, 0)
-		if got := b.s.endpoint(11).lane.pace.rate; math.Abs(got-want) > 0.001 {
+		b.s.onRefusal(b.s.endpoint(11), b.s.now-10*ms, 0)
+		if got := b.s.endpoint(11).limitScope.controller.rate; math.Abs(got-want) > 0.001 {
 			t.Errorf("rate %.3f after refusal %d, want %.3f", got, i+1, want)
 		}
 	}
@@ -1774,13 +1774,13 @@
 		calls := 0
 		for i := range senders {
 			b := newBench(t, func(s *Settings) {
-				s.Senders, s.Seed, s.RatesListed, s.RatesExact, s.MayAdvise = 2*senders, uint64(i), true, true, false
+				s.Senders, s.Seed, s.RatesListed, s.RatesExact, s.MaySendRetryAfter = 2*senders, uint64(i), true, true, false
 			}, Entry{Endpoint: 11, Destination: 1, ListedRate: 10})
 			b.serve(1, safe, 11)
 			start := b.now
 			hang := func(EndpointID) reply {
 				if b.now-start < outage {
-					return reply{o: Full, after: 50 * ms}
+					return reply{o: Refused, after: 50 * ms}
 				}
 				return reply{o: OK, after: 50 * ms}
 			}
@@ -1807,16 +1807,16 @@
 // A sender of a crowd that cannot call a destination before a message's time is up hands it back at once, with when to
 // come again: another sender may be well there. Alone it keeps it.
 func TestACrowdHandsBackWhatItCannotSendInTime(t *testing.T) {
-	for _, senders := range []int{fewSenders + 1, fewSenders} {
+	for _, senders := range []int{smallFleet + 1, smallFleet} {
 		b := newBench(t, func(s *Settings) { s.Senders = senders })
 		b.serve(1, safe, 11)
 		ep := b.s.endpoint(11)
-		b.s.suspend(ep, Full, CauseFailures)
-		ep.failing, ep.charged = b.now-10*sec, b.now+20*sec // old trouble, as if the gap were that long
+		b.s.startProbation(ep, Refused, CauseFailures)
+		ep.failingSince, ep.lastCharged = b.now-10*sec, b.now+20*sec // old trouble, as if the gap were that long
 		id, out := b.take(safe)
 		refused := pick[Refuse](append(out, b.wait(10*ms)...))
 		handed := slices.ContainsFunc(refused, func(r Refuse) bool { return r.ID == id && r.RetryAfter > 0 })
-		if want := senders > fewSenders; handed != want {
+		if want := senders > smallFleet; handed != want {
 			t.Errorf("%d senders: refused %v, want %v handed back with advice: %v", senders, refused, id, want)
 		}
 	}
@@ -1825,7 +1825,7 @@
 // Of two routes apart that are alike, the one whose zone takes no toll gets the message.
 func TestATollSteersToTheOtherRoute(t *testing.T) {
 	for _, tolls := range [][]float64{{0.06, 0}, {0, 0.06}} {
-		b := newBench(t, func(s *Settings) { s.ZoneTolls = tolls }, Entry{Endpoint: 11, Destination: 1, Kind: 1, Zone: 0},
+		b := newBench(t, func(s *Settings) { s.ZoneCosts = tolls }, Entry{Endpoint: 11, Destination: 1, Kind: 1, Zone: 0},
 			Entry{Endpoint: 12, Destination: 1, Kind: 1, Zone: 1})
 		_, out := b.take(safe)
 		want := EndpointID(12)
--- a/rules/slowstart_test.go
+++ b/rules/slowstart_test.go
@@ -42,15 +42,15 @@
 	if ep.health != probation {
 		t.Fatalf("health %d after failures, want probation", ep.health)
 	}
-	ep.failing = b.now - 8*sec // it was out for longer than anything stays warm
-	ep.charged = b.now - ep.probeGap
-	ep.dest.retryAt = b.now
+	ep.failingSince = b.now - 8*sec // it was out for longer than anything stays warm
+	ep.lastCharged = b.now - ep.probeInterval
+	ep.destination.retryNotBefore = b.now
 	before := len(sends(b.log))
 	for range 6 {
 		b.take(safe)
 	}
 	b.run(sec, always(OK, 20*ms))
-	if n := len(sends(b.log)) - before; ep.health != ramping || n < 1 || n > 2 {
+	if n := len(sends(b.log)) - before; ep.health != slowStart || n < 1 || n > 2 {
 		t.Errorf("health %d, %d calls in the second after the return, want a slow start with one or two", ep.health, n)
 	}
 }
@@ -62,11 +62,11 @@
 		id, _ := b.take(safe)
 		ep := b.s.endpoint(11)
 		b.s.now = b.now
-		b.s.suspend(ep, TimedOut, CauseSilence)
-		ep.charged = b.now - 100*sec
+		b.s.startProbation(ep, TimedOut, CauseUnresponsive)
+		ep.lastCharged = b.now - 100*sec
 		b.now += 20 * sec
 		b.end(id, 0, 11, why)
-		if at := b.s.admitted(ep); at <= b.now {
+		if at := b.s.slowStartAdmits(ep); at <= b.now {
 			t.Errorf("outcome %d: the next call may leave at %v, %v after it", why, at, at-b.now)
 		}
 	}
@@ -84,7 +84,7 @@
 		id, _ := b.take(once)
 		b.now += c.out
 		b.end(id, 0, 11, Cancelled)
-		if got := b.s.endpoint(11).fails; got != c.fails {
+		if got := b.s.endpoint(11).consecutiveFailures; got != c.fails {
 			t.Errorf("%d senders, given up after %v: %d failures, want %d", c.senders, c.out, got, c.fails)
 		}
 	}
@@ -96,10 +96,10 @@
 		Entry{Endpoint: 11, Destination: 1, ListedRate: 20}, Entry{Endpoint: 12, Destination: 2, ListedRate: 20})
 	b.step(Arrived{ID: "slot", Destination: 2, Class: once, TimeLeft: 16 * sec})
 	ep := b.s.endpoint(11)
-	b.s.suspend(ep, ConnectError, CauseFailures)
-	ep.charged = b.now - 100*sec
+	b.s.startProbation(ep, ConnectError, CauseFailures)
+	ep.lastCharged = b.now - 100*sec
 	b.take(safe)
-	if at := b.s.admitted(ep); at <= b.now {
+	if at := b.s.slowStartAdmits(ep); at <= b.now {
 		t.Errorf("with no slot free the share is kept: the next call may leave at %v, now %v", at, b.now)
 	}
 }
@@ -109,13 +109,13 @@
 	for _, c := range []struct{ senders, calls int }{{300, 0}, {2, 1}} {
 		b := newBench(t, func(s *Settings) { s.Senders, s.RatesListed, s.RatesExact = c.senders, true, true },
 			Entry{Endpoint: 11, Destination: 1, ListedRate: 20})
-		b.step(Remembered{Endpoint: 11, Ago: 5 * sec, Rate: 0.3}, Remembered{Endpoint: 99, Ago: sec})
+		b.step(RememberedOutage{Endpoint: 11, Age: 5 * sec, Rate: 0.3}, RememberedOutage{Endpoint: 99, Age: sec})
 		_, out := b.take(safe)
 		if n := len(sends(out)); n != c.calls {
 			t.Errorf("%d senders: %d calls at once, want %d", c.senders, n, c.calls)
 		}
-		if ep := b.s.endpoint(11); c.senders == 300 && (ep.base != 0.3 || b.now-ep.failing != 5*sec) {
-			t.Errorf("base %v, failing for %v", ep.base, b.now-ep.failing)
+		if ep := b.s.endpoint(11); c.senders == 300 && (ep.preOutageRate != 0.3 || b.now-ep.failingSince != 5*sec) {
+			t.Errorf("base %v, failing for %v", ep.preOutageRate, b.now-ep.failingSince)
 		}
 	}
 }
@@ -124,11 +124,11 @@
 func TestANewEndpointOfAColdDestination(t *testing.T) {
 	for _, serves := range []bool{false, true} {
 		b := many(t, Entry{Endpoint: 11, Destination: 1, ListedRate: 20}, Entry{Endpoint: 12, Destination: 1, ListedRate: 20})
-		b.s.suspend(b.s.endpoint(11), ConnectError, CauseFailures)
+		b.s.startProbation(b.s.endpoint(11), ConnectError, CauseFailures)
 		if !serves {
-			b.s.suspend(b.s.endpoint(12), ConnectError, CauseFailures)
+			b.s.startProbation(b.s.endpoint(12), ConnectError, CauseFailures)
 		}
-		b.step(Listed{Entries: []Entry{{Endpoint: 13, Destination: 1, ListedRate: 20}}})
+		b.step(ListUpdate{Entries: []Entry{{Endpoint: 13, Destination: 1, ListedRate: 20}}})
 		if got := b.s.endpoint(13).health; (got == healthy) != serves {
 			t.Errorf("another serves %v: the new one's health is %d", serves, got)
 		}
@@ -139,20 +139,20 @@
 func TestTheReturnOfADestination(t *testing.T) {
 	b := many(t, Entry{Endpoint: 11, Destination: 1, ListedRate: 20}, Entry{Endpoint: 12, Destination: 1, ListedRate: 20})
 	one, other := b.s.endpoint(11), b.s.endpoint(12)
-	one.failing = b.now - 8*sec
-	b.s.suspend(one, Reset, CauseFailures)
-	b.s.suspend(other, Reset, CauseFailures)
+	one.failingSince = b.now - 8*sec
+	b.s.startProbation(one, Reset, CauseFailures)
+	b.s.startProbation(other, Reset, CauseFailures)
 	b.now += 6 * sec
-	b.step(Woke{})
+	b.step(WakeUp{})
 	b.answered(11, safe, 0)
-	if one.health != ramping || b.now-one.since != 3*sec {
-		t.Errorf("health %d, back for %v, want a slow start of 3s", one.health, b.now-one.since)
+	if one.health != slowStart || b.now-one.healthSince != 3*sec {
+		t.Errorf("health %d, back for %v, want a slow start of 3s", one.health, b.now-one.healthSince)
 	}
-	if want := seconds(foundPart * 6); one.credit < want-time.Millisecond || one.credit > want+time.Millisecond {
-		t.Errorf("%v count as warm-up, want %v", one.credit, want)
+	if want := seconds(warmUpCreditShare * 6); one.warmUpCredit < want-time.Millisecond || one.warmUpCredit > want+time.Millisecond {
+		t.Errorf("%v count as warm-up, want %v", one.warmUpCredit, want)
 	}
-	if other.health != ramping || other.since != one.since {
-		t.Errorf("the other endpoint: health %d, since %v, want as the first", other.health, other.since)
+	if other.health != slowStart || other.healthSince != one.healthSince {
+		t.Errorf("the other endpoint: health %d, since %v, want as the first", other.health, other.healthSince)
 	}
 }
 
@@ -160,20 +160,20 @@
 func TestAFailureOnSlowStartBeginsItAnew(t *testing.T) {
 	b := many(t)
 	ep := b.s.endpoint(11)
-	b.s.suspend(ep, Errored, CauseFailures)
+	b.s.startProbation(ep, Errored, CauseFailures)
 	b.now += 6 * sec
-	b.step(Woke{})
+	b.step(WakeUp{})
 	b.answered(11, safe, 0)
 	b.now += 9 * sec
-	b.step(Woke{})
-	b.s.failed(ep, b.now-10*ms, Errored)
-	if ep.health != ramping || ep.since != b.now || ep.credit != 0 {
-		t.Errorf("health %d, back since %v with %v to its credit, want a slow start from %v", ep.health, ep.since, ep.credit, b.now)
+	b.step(WakeUp{})
+	b.s.onFailure(ep, b.now-10*ms, Errored)
+	if ep.health != slowStart || ep.healthSince != b.now || ep.warmUpCredit != 0 {
+		t.Errorf("health %d, back since %v with %v to its credit, want a slow start from %v", ep.health, ep.healthSince, ep.warmUpCredit, b.now)
 	}
 	b.now += 2 * sec
-	b.step(Woke{})
+	b.step(WakeUp{})
 	b.answered(11, safe, 0)
-	if ep.health != ramping {
+	if ep.health != slowStart {
 		t.Errorf("health %d two seconds after a failure, want slow start", ep.health)
 	}
 }
@@ -196,7 +196,7 @@
 			Entry{Endpoint: 11, Destination: 1, ListedRate: 20})
 		id, _ := b.take(once)
 		b.end(id, 0, 11, Errored) // it may have run, and is not sent again
-		b.now = max(b.s.endpoint(11).dest.retryAt, b.now+c.idle)
+		b.now = max(b.s.endpoint(11).destination.retryNotBefore, b.now+c.idle)
 		_, out := b.take(safe)
 		if got := len(sends(out)); got != c.calls {
 			t.Errorf("%s: %d calls, want %d", c.name, got, c.calls)
@@ -219,10 +219,10 @@
 		b := newBench(t, func(s *Settings) { s.Senders = c.senders })
 		ep := b.s.endpoint(11)
 		b.s.now = b.now
-		b.s.failed(ep, b.now-2*sec, Errored)
-		b.s.succeeded(b.made(11, safe, b.now-2*sec+c.answered), sec)
-		if ep.fails != c.fails {
-			t.Errorf("%d senders, a call made %v after the failed one is answered: %d failures, want %d", c.senders, c.answered, ep.fails, c.fails)
+		b.s.onFailure(ep, b.now-2*sec, Errored)
+		b.s.onSuccess(b.made(11, safe, b.now-2*sec+c.answered), sec)
+		if ep.consecutiveFailures != c.fails {
+			t.Errorf("%d senders, a call made %v after the failed one is answered: %d failures, want %d", c.senders, c.answered, ep.consecutiveFailures, c.fails)
 		}
 	}
 	for _, c := range []struct {
@@ -233,10 +233,10 @@
 		b := newBench(t, func(s *Settings) { s.Senders = c.senders })
 		ep := b.s.endpoint(11)
 		b.s.now = b.now
-		b.s.succeeded(b.made(11, safe, b.now-6*sec+c.answered), 3*sec)
-		b.s.failed(ep, b.now-6*sec, TimedOut)
-		if ep.fails != c.fails {
-			t.Errorf("%d senders, a time-out beside an answer to a call made %v after it: %d failures, want %d", c.senders, c.answered, ep.fails, c.fails)
+		b.s.onSuccess(b.made(11, safe, b.now-6*sec+c.answered), 3*sec)
+		b.s.onFailure(ep, b.now-6*sec, TimedOut)
+		if ep.consecutiveFailures != c.fails {
+			t.Errorf("%d senders, a time-out beside an answer to a call made %v after it: %d failures, want %d", c.senders, c.answered, ep.consecutiveFailures, c.fails)
 		}
 	}
 }
@@ -249,8 +249,8 @@
 	}{{20 * ms, 0}, {sec, 1}} {
 		b := many(t)
 		b.s.now = b.now
-		b.s.judge(b.made(11, safe, b.now-c.out), Ended{Outcome: TimedOut, Elapsed: c.out})
-		if got := b.s.endpoint(11).fails; got != c.fails {
+		b.s.assessOutcome(b.made(11, safe, b.now-c.out), AttemptEnded{Outcome: TimedOut, Elapsed: c.out})
+		if got := b.s.endpoint(11).consecutiveFailures; got != c.fails {
 			t.Errorf("timed out after %v: %d failures, want %d", c.out, got, c.fails)
 		}
 	}
@@ -266,19 +266,19 @@
 		want   health
 	}{
 		{"brief doubt", healthy, sec, healthy},
-		{"long doubt", healthy, 8 * sec, ramping},
-		{"on slow start", ramping, 12 * sec, ramping},
+		{"long doubt", healthy, 8 * sec, slowStart},
+		{"on slow start", slowStart, 12 * sec, slowStart},
 	} {
 		b := many(t)
 		ep := b.s.endpoint(11)
 		b.s.now = b.now
-		ep.health, ep.since = c.before, b.now-20*sec
-		b.s.failed(ep, b.now-c.age, TimedOut)
+		ep.health, ep.healthSince = c.before, b.now-20*sec
+		b.s.onFailure(ep, b.now-c.age, TimedOut)
 		b.now += 100 * ms
-		b.step(Woke{})
+		b.step(WakeUp{})
 		b.answered(11, safe, 20*ms)
-		if ep.health != c.want || c.want == ramping && b.now-ep.since > c.age/2+sec {
-			t.Errorf("%s: health %d, back for %v, want %d and %v", c.name, ep.health, b.now-ep.since, c.want, c.age/2)
+		if ep.health != c.want || c.want == slowStart && b.now-ep.healthSince > c.age/2+sec {
+			t.Errorf("%s: health %d, back for %v, want %d and %v", c.name, ep.health, b.now-ep.healthSince, c.want, c.age/2)
 		}
 	}
 }
@@ -286,12 +286,12 @@
 // The part of a budget that informed senders may use keeps its distance from what breaks the rule, at every size.
 func TestBudgetPartLeavesRoomForChance(t *testing.T) {
 	for budget := 1.0; budget < 2000; budget *= 1.1 {
-		mean := budget * budgetPart(budget)
+		mean := budget * budgetFraction(budget)
 		bears := budget + 2*math.Sqrt(budget) + 2
 		if budget < 30 {
 			bears = budget + 3*math.Sqrt(budget) + 3
 		}
-		if most := brokenPart * bears; mean+chanceRoots*math.Sqrt(mean) > most+1e-9 {
+		if most := breachShare * bears; mean+chanceDeviations*math.Sqrt(mean) > most+1e-9 {
 			t.Errorf("budget %.1f: a mean of %.2f, and %.2f break the rule", budget, mean, most)
 		}
 	}
--- a/rules/step_bench_test.go
+++ b/rules/step_bench_test.go
@@ -24,11 +24,11 @@
 	for d := range destinations + 1 {
 		entries = append(entries, Entry{Endpoint: EndpointID(d + 1), Destination: d})
 	}
-	c.step(Listed{Whole: true, Entries: entries})
+	c.step(ListUpdate{Whole: true, Entries: entries})
 	for d := range 20 {
 		id := MessageID(fmt.Sprintf("first%d", d))
 		c.step(Arrived{ID: id, Destination: d, Class: safe, TimeLeft: 1e6 * sec})
-		c.step(Ended{ID: id, Endpoint: EndpointID(d + 1), Outcome: Full, Wait: 5e5 * sec})
+		c.step(AttemptEnded{ID: id, Endpoint: EndpointID(d + 1), Outcome: Refused, RetryAfter: 5e5 * sec})
 	}
 	for h := range held - 20 {
 		c.step(Arrived{ID: MessageID(fmt.Sprintf("held%d", h)), Destination: h % 20, Class: safe, TimeLeft: 1e6*sec + time.Duration(h)*ms})
@@ -43,7 +43,7 @@
 	c.events = nil
 	for _, a := range c.s.Step(c.now, append(next, events...)) {
 		if a, ok := a.(Send); ok && a.Endpoint > 20 {
-			c.events = append(c.events, Ended{ID: a.ID, Endpoint: a.Endpoint, Outcome: OK, Elapsed: 5 * ms, Over: true})
+			c.events = append(c.events, AttemptEnded{ID: a.ID, Endpoint: a.Endpoint, Outcome: OK, Elapsed: 5 * ms, Finished: true})
 		}
 	}
 }
@@ -105,7 +105,7 @@
 			id := MessageID(fmt.Sprintf("u%d", d))
 			c.step(Arrived{ID: id, Destination: d, Class: safe, TimeLeft: 16 * sec})
 		}
-		c.step(Woke{})
+		c.step(WakeUp{})
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/destinations, "B/destination")
