--- a/cmd/eiderhaven/service.go
+++ b/cmd/eiderhaven/service.go
@@ -100,7 +100,7 @@
 	s.pool = outbound.New(outbound.Config{ConnectTimeout: cfg.settings.ConnectTimeout, KeepAlive: cfg.settings.KeepAlive,
 		MaxConns: calls, Finish: func(c *exchange.Call, r exchange.Result) { s.exchange.Finish(c, r) }})
 	s.exchange = exchange.New(exchange.Config{Settings: cfg.settings, Classes: cfg.names.Classes,
-		Tenants: cfg.names.Tenants, Known: known, Ledger: led, Caller: s.pool, Platform: platformSides{s.notices, s.registry.Watch}, Log: log})
+		Tenants: cfg.names.Tenants, InitialListing: known, Ledger: led, Caller: s.pool, Platform: platformSides{s.notices, s.registry.Watch}, Log: log})
 	cfg.known = exchange.Listing{} // the exchange's from here on, which lets go of it as soon as it can
 	s.intake = intake.New(intake.Config{Exchange: s.exchange, Ready: s.isReady, Classes: cfg.names.Classes,
 		MaxConns: clients, Slow: slowClient, Idle: idleClient, Log: log})
@@ -111,7 +111,7 @@
 // if that one came from where discovery is now. It holds until discovery has answered. What only the configuration names stays a
 // destination that has been heard of: it is listed first, and the other one, which is whole, on top of it.
 func (s *service) known() exchange.Listing {
-	keeper, left := snapshot.Open(s.cfg.state, s.cfg.names.Kinds, s.cfg.names.Zones, func(bytes int64) bool { return s.exchange.SetAside(bytes) }, s.log)
+	keeper, left := snapshot.Open(s.cfg.state, s.cfg.names.Kinds, s.cfg.names.Zones, func(bytes int64) bool { return s.exchange.ReserveListSpace(bytes) }, s.log)
 	s.keeper, s.registry.Keeper = keeper, keeper
 	if left == nil || left.At != s.cfg.discovery || left.Seq < s.cfg.knownSeq {
 		return s.cfg.known
@@ -184,7 +184,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
 	if s.left.Whole { // ahead of what discovery tells
-		s.exchange.List(s.left)
+		s.exchange.ApplyListing(s.left)
 		s.left = exchange.Listing{}
 	}
 	s.wg.Go(func() { s.heed(ctx, hangups) })
@@ -243,7 +243,7 @@
 // drain goes on serving until the time is over, or nobody is left to serve and nothing is owed.
 func (s *service) drain(signals <-chan os.Signal) {
 	begun := time.Now()
-	s.exchange.Ending(drainFor)
+	s.exchange.AnnounceShutdown(drainFor)
 	end := time.NewTimer(drainFor)
 	defer end.Stop()
 	look := time.NewTicker(50 * time.Millisecond)
@@ -292,7 +292,7 @@
 		slog.Group("discovery", "lists", s.registry.Lists.Load(), "failed", s.registry.Failed.Load(),
 			"list_bytes_written", s.keeper.Written.Load(), "lists_unwritten", s.keeper.Unwritten.Load(),
 			"notices_pending", s.notices.Pending(), "notices_failed", s.notices.Failed.Load()),
-		slog.Group("ledger", "broken", s.ledger.Stats().Broken),
+		slog.Group("ledger", "broken", s.ledger.Stats().BrokenRecords),
 		slog.Group("process", append([]any{"goroutines", runtime.NumGoroutine()}, heap()...)...))
 }
 
--- a/internal/capacity/parts_test.go
+++ b/internal/capacity/parts_test.go
@@ -51,7 +51,7 @@
 				began := time.Now()
 				for i := range n {
 					m := &message.Message{ID: fmt.Sprintf("m%09d", i), Class: "stock", Dest: 7, Deadline: time.Now().Add(time.Hour), Body: make([]byte, size)}
-					if err := led.Take(m); err != nil {
+					if err := led.RecordAccepted(m); err != nil {
 						b.Fatal(err)
 					}
 				}
@@ -71,7 +71,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				owed := led.Owed()
+				owed := led.Pending()
 				opened := time.Since(began)
 				led.Close()
 				if len(owed) != n {
@@ -229,9 +229,9 @@
 // heard is what a client of discovery was told, and when.
 type heard struct{ lists chan time.Time }
 
-func (h *heard) List(exchange.Listing) { h.lists <- time.Now() }
-func (h *heard) ListFailed()           {}
-func (h *heard) Noticed([]string)      {}
+func (h *heard) ApplyListing(exchange.Listing) { h.lists <- time.Now() }
+func (h *heard) ListFailed()                   {}
+func (h *heard) NoticesAccepted([]string)      {}
 
 // follow starts a client of discovery and returns what it hears.
 func follow(ctx context.Context, addr string, wg *sync.WaitGroup) *heard {
--- a/internal/exchange/counts.go
+++ b/internal/exchange/counts.go
@@ -13,14 +13,14 @@
 // Refused, Failed and Taken; Taken and Recovered are Delivered, Bounced, Dead, Withdrawn, Elsewhere and Held;
 // Attempts is what has an outcome, of whichever kind, and what is Out.
 type Counts struct {
-	In, Unknown, Duplicate, Refused, Failed, Taken, Recovered int
-	Delivered, Bounced, Dead, Withdrawn, Elsewhere            int
-	Held, Out                                                 int
-	Calls, Recalled, Attempts                                 int
-	Outcomes                                                  [rules.NotSent + 1]int
-	Noticed, Unrecorded                                       int
-	Ended                                                     map[rules.EndReason]int // undelivered, by reason
-	Deferred, Transitions                                     int                     // by slow start, probation or a pause; changes of endpoints' states
+	Submitted, Unknown, Duplicate, Refused, Failed, Accepted, Recovered int
+	Delivered, Bounced, Dead, Withdrawn, FinishedElsewhere              int
+	Held, InFlight                                                      int
+	Calls, Recalled, Attempts                                           int
+	Outcomes                                                            [rules.NotSent + 1]int
+	NoticesAccepted, RecordsFailed                                      int
+	Ended                                                               map[rules.EndReason]int // undelivered, by reason
+	Deferred, Transitions                                               int                     // by slow start, probation or a pause; changes of endpoints' states
 }
 
 var outcomeNames = [rules.NotSent + 1]string{
@@ -47,7 +47,7 @@
 	c.Ended = maps.Clone(x.counts.Ended)
 	c.Held = len(x.held)
 	for _, f := range x.flights {
-		c.Out += len(f.items)
+		c.InFlight += len(f.items)
 	}
 	return c
 }
@@ -55,11 +55,11 @@
 // LogValue gives the counters their names in the log.
 func (c Counts) LogValue() slog.Value {
 	list := []slog.Attr{
-		slog.Int("in", c.In), slog.Int("unknown", c.Unknown), slog.Int("duplicate", c.Duplicate),
-		slog.Int("refused", c.Refused), slog.Int("failed", c.Failed), slog.Int("taken", c.Taken), slog.Int("recovered", c.Recovered),
+		slog.Int("in", c.Submitted), slog.Int("unknown", c.Unknown), slog.Int("duplicate", c.Duplicate),
+		slog.Int("refused", c.Refused), slog.Int("failed", c.Failed), slog.Int("taken", c.Accepted), slog.Int("recovered", c.Recovered),
 		slog.Int("delivered", c.Delivered), slog.Int("bounced", c.Bounced), slog.Int("dead", c.Dead),
-		slog.Int("withdrawn", c.Withdrawn), slog.Int("elsewhere", c.Elsewhere), slog.Int("held", c.Held),
-		slog.Int("calls", c.Calls), slog.Int("recalled", c.Recalled), slog.Int("attempts", c.Attempts), slog.Int("out", c.Out),
+		slog.Int("withdrawn", c.Withdrawn), slog.Int("elsewhere", c.FinishedElsewhere), slog.Int("held", c.Held),
+		slog.Int("calls", c.Calls), slog.Int("recalled", c.Recalled), slog.Int("attempts", c.Attempts), slog.Int("out", c.InFlight),
 	}
 	for i, name := range outcomeNames {
 		list = append(list, slog.Int(name, c.Outcomes[i]))
@@ -68,5 +68,5 @@
 		list = append(list, slog.Int("ended_"+string(why), c.Ended[why]))
 	}
 	list = append(list, slog.Int("deferred", c.Deferred), slog.Int("transitions", c.Transitions))
-	return slog.GroupValue(append(list, slog.Int("noticed", c.Noticed), slog.Int("unrecorded", c.Unrecorded))...)
+	return slog.GroupValue(append(list, slog.Int("noticed", c.NoticesAccepted), slog.Int("unrecorded", c.RecordsFailed))...)
 }
--- a/internal/exchange/directory.go
+++ b/internal/exchange/directory.go
@@ -72,10 +72,10 @@
 				h = old
 				h.Gone = true
 			}
-			if h.Gone || old.Dial != h.Dial {
+			if h.Gone || old.Addr != h.Addr {
 				left = append(left, old.Peer)
 			}
-			d.set(at, old.Dial, h)
+			d.set(at, old.Addr, h)
 		} else if !h.Gone { // else gone before it was ever heard of, or long since
 			at = d.add(h)
 		} else {
@@ -105,14 +105,14 @@
 	at = uint32(len(d.rows))
 	d.rows = append(d.rows, row{id: d.last, at: d.text.add(h.Peer)})
 	d.byName.Put(at)
-	d.set(at, h.Dial, h)
+	d.set(at, h.Addr, h)
 	return at
 }
 
 // set puts a host into its row, whose endpoint stood at this address.
 func (d *directory) set(at uint32, dial string, h Host) {
 	r := &d.rows[at]
-	if h.Dial != dial {
+	if h.Addr != dial {
 		d.text.drop(r.at)
 		r.at = d.text.add(h.Peer)
 	}
@@ -134,7 +134,7 @@
 	} else {
 		h = Host{Dest: int(r.dest), Kind: int(r.kind), Zone: int(r.zone), Rate: r.rate}
 	}
-	h.Name, h.Dial = d.text.get(r.at)
+	h.Name, h.Addr = d.text.get(r.at)
 	return h
 }
 
@@ -214,8 +214,8 @@
 const chunk = 16 << 10
 
 func (t *text) add(p Peer) uint32 {
-	head := binary.AppendUvarint(binary.AppendUvarint(nil, uint64(len(p.Name))), uint64(len(p.Dial)))
-	n, last := len(head)+len(p.Name)+len(p.Dial), len(t.chunks)-1
+	head := binary.AppendUvarint(binary.AppendUvarint(nil, uint64(len(p.Name))), uint64(len(p.Addr)))
+	n, last := len(head)+len(p.Name)+len(p.Addr), len(t.chunks)-1
 	if last < 0 || t.chunks[last].Len()+n > chunk {
 		b := &strings.Builder{}
 		b.Grow(max(n, chunk))
@@ -226,7 +226,7 @@
 	at := last*chunk + b.Len()
 	b.Write(head)
 	b.WriteString(p.Name)
-	b.WriteString(p.Dial)
+	b.WriteString(p.Addr)
 	t.size += n
 	return uint32(at)
 }
--- a/internal/exchange/directory_test.go
+++ b/internal/exchange/directory_test.go
@@ -38,7 +38,7 @@
 			d.last++
 			id = d.last
 			d.ids[h.Name] = id
-		} else if h.Gone || old.Dial != h.Dial {
+		} else if h.Gone || old.Addr != h.Addr {
 			left = append(left, old.Peer)
 		}
 		named[id], d.hosts[id], d.dests[h.Dest] = true, h, true
@@ -82,7 +82,7 @@
 				case 2:
 					h.Zone = 1<<16 + rng.IntN(3)
 				case 3:
-					h.Name, h.Dial = "", ""
+					h.Name, h.Addr = "", ""
 				}
 				l.Hosts = append(l.Hosts, h)
 			}
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -19,7 +19,7 @@
 
 // The verdicts.
 const (
-	Taken     Verdict = iota // the sender owes it an end
+	Accepted  Verdict = iota // the sender owes it an end
 	Refused                  // handing it in again is harmless
 	Failed                   // given up at once, with no promise
 	Unknown                  // nobody has heard of its destination or class
@@ -34,14 +34,14 @@
 }
 
 // Peer is an endpoint and where it is. A new endpoint may stand where another one was: it is another peer.
-type Peer struct{ Name, Dial string }
+type Peer struct{ Name, Addr string }
 
 // Call is one call to an endpoint. The endpoint side does it and hands its result to Exchange.Finish.
 type Call struct {
 	To      Peer
 	Items   []*message.Message
-	Waiting time.Duration // how long the sender will wait for it
-	LeaveBy time.Time     // when its last byte must be written at the latest, or never; zero for whenever
+	Timeout time.Duration // how long the sender will wait for it
+	WriteBy time.Time     // when its last byte must be written at the latest, or never; zero for whenever
 	flight  *flight
 }
 
@@ -53,13 +53,13 @@
 
 // ItemResult is how one message of a call fared.
 type ItemResult struct {
-	Outcome  rules.Outcome
-	Wait     time.Duration
-	NoSlot   bool
-	NoPlace  bool // with ConnectError: the endpoint is there, and says that it holds all the connections it can
-	Recalled bool // with NotSent
-	Over     bool // the endpoint says that the message is over: nothing more is owed
-	Report   rules.Report
+	Outcome                rules.Outcome
+	RetryAfter             time.Duration
+	NoFreeSlot             bool
+	ConnectionLimitReached bool // with ConnectError: the endpoint is there, and says that it holds all the connections it can
+	Recalled               bool // with NotSent
+	Finished               bool // the endpoint says that the message is over: nothing more is owed
+	Report                 rules.Report
 }
 
 // Handle lets a call be ended from this side.
@@ -79,7 +79,7 @@
 
 // Platform is the side that lists the endpoints and takes notices. None of its methods may wait.
 type Platform interface {
-	Tell(ledger.Notice)
+	EnqueueNotice(ledger.Notice)
 	Watch()
 }
 
@@ -99,14 +99,14 @@
 
 // Config is what an exchange starts from.
 type Config struct {
-	Settings *rules.Settings
-	Classes  []string // names, in the order of the settings
-	Tenants  []string // likewise
-	Known    Listing  // as this sender last held it
-	Ledger   *ledger.Ledger
-	Caller   Caller
-	Platform Platform
-	Log      *slog.Logger
+	Settings       *rules.Settings
+	Classes        []string // names, in the order of the settings
+	Tenants        []string // likewise
+	InitialListing Listing  // as this sender last held it
+	Ledger         *ledger.Ledger
+	Caller         Caller
+	Platform       Platform
+	Log            *slog.Logger
 }
 
 // clockStart is the module's time at the start of the process, so that what an earlier process did lies after 0.
@@ -161,20 +161,20 @@
 // Recover tells the module of the known list, of any that has come since, and of what an earlier process left owed.
 // Call it once, before Run.
 func (x *Exchange) Recover() {
-	x.listed(x.cfg.Known)
-	x.cfg.Known = Listing{} // the directory has it
+	x.listed(x.cfg.InitialListing)
+	x.cfg.InitialListing = Listing{} // the directory has it
 	x.drain()
 	for _, o := range x.cfg.Ledger.Outages() {
 		if id := x.dir.id(o.Host); id != 0 {
 			x.events = append(x.events, rules.RememberedOutage{Endpoint: id, Age: time.Since(o.At), Rate: o.Rate})
 		} else {
-			x.record(x.cfg.Ledger.OutageOver(o.Host)) // it is listed no more
+			x.record(x.cfg.Ledger.RecordOutageEnd(o.Host)) // it is listed no more
 		}
 	}
 	for _, n := range x.cfg.Ledger.Notices() {
-		x.cfg.Platform.Tell(n)
+		x.cfg.Platform.EnqueueNotice(n)
 	}
-	owed := x.cfg.Ledger.Owed()
+	owed := x.cfg.Ledger.Pending()
 	for _, o := range owed {
 		x.restore(o)
 	}
@@ -185,7 +185,7 @@
 }
 
 // restore hands the module a message that an earlier process had taken.
-func (x *Exchange) restore(o ledger.Owed) {
+func (x *Exchange) restore(o ledger.PendingMessage) {
 	x.counts.Recovered++
 	m := o.Message
 	h := &held{msg: m, attempts: o.Attempts}
@@ -196,9 +196,9 @@
 		x.fail(h)
 		return
 	}
-	before := rules.PriorAttempts{Count: o.Attempts, Failed: o.Failed, MayHaveRun: o.MayRun}
-	if o.MayRun {
-		h.mayRunAt, before.Endpoint = o.At, x.dir.id(o.Host)
+	before := rules.PriorAttempts{Count: o.Attempts, Failed: o.FailedAttempts, MayHaveRun: o.MayHaveRun}
+	if o.MayHaveRun {
+		h.mayRunAt, before.Endpoint = o.MayHaveRunAt, x.dir.id(o.MayHaveRunHost)
 	}
 	x.events = append(x.events, rules.Arrived{ID: rules.MessageID(m.ID), Destination: m.Dest, Class: class,
 		Tenant: x.tenant(m.Tenant), Prior: before})
@@ -265,7 +265,7 @@
 func (x *Exchange) Finish(c *Call, r Result) { x.post(func() { x.finished(c.flight, r) }) }
 
 // List hands in what the registry told.
-func (x *Exchange) List(l Listing) { x.post(func() { x.listed(l) }) }
+func (x *Exchange) ApplyListing(l Listing) { x.post(func() { x.listed(l) }) }
 
 // listed takes in a list. Idle connections to endpoints that it has lost are closed.
 func (x *Exchange) listed(l Listing) {
@@ -282,9 +282,9 @@
 }
 
 // SetAside asks for room in the ledger's folder for the list of endpoints, see [ledger.Ledger.SetAside]. It waits for the answer.
-func (x *Exchange) SetAside(bytes int64) bool {
+func (x *Exchange) ReserveListSpace(bytes int64) bool {
 	reply := make(chan bool, 1)
-	if !x.post(func() { reply <- x.cfg.Ledger.SetAside(bytes) }) {
+	if !x.post(func() { reply <- x.cfg.Ledger.ReserveListSpace(bytes) }) {
 		return false
 	}
 	select {
@@ -296,15 +296,15 @@
 }
 
 // Ending tells that Stop will be called after this time.
-func (x *Exchange) Ending(after time.Duration) {
+func (x *Exchange) AnnounceShutdown(after time.Duration) {
 	x.post(func() { x.events = append(x.events, rules.ShuttingDown{After: after}) })
 }
 
 // Noticed tells that the platform has accepted the notices of these messages.
-func (x *Exchange) Noticed(ids []string) {
+func (x *Exchange) NoticesAccepted(ids []string) {
 	x.post(func() {
-		x.counts.Noticed += len(ids)
-		x.record(x.cfg.Ledger.End(ids...))
+		x.counts.NoticesAccepted += len(ids)
+		x.record(x.cfg.Ledger.RecordEnd(ids...))
 	})
 }
 
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -54,8 +54,8 @@
 // notices keeps what the platform is told.
 type notices struct{ told chan ledger.Notice }
 
-func (n *notices) Tell(one ledger.Notice) { n.told <- one }
-func (n *notices) Watch()                 {}
+func (n *notices) EnqueueNotice(one ledger.Notice) { n.told <- one }
+func (n *notices) Watch()                          {}
 
 // world is an exchange with scripted surroundings.
 type world struct {
@@ -102,7 +102,7 @@
 		ends: &endpoints{started: make(chan *Call, 200), cancelled: make(chan *Call, 200),
 			recalled: make(chan *Call, 200), closed: make(chan Peer, 200)},
 		plat: &notices{make(chan ledger.Notice, 200)}}
-	w.Exchange = New(Config{Settings: set, Classes: []string{"stock", "payment"}, Known: known, Ledger: led,
+	w.Exchange = New(Config{Settings: set, Classes: []string{"stock", "payment"}, InitialListing: known, Ledger: led,
 		Caller: w.ends, Platform: w.plat, Log: quiet})
 	return w
 }
@@ -134,7 +134,7 @@
 // take hands in a message that must be taken on.
 func (w *world) take(m *message.Message) {
 	w.t.Helper()
-	if a := w.Submit(m); a.Verdict != Taken {
+	if a := w.Submit(m); a.Verdict != Accepted {
 		w.t.Fatalf("message %s: verdict %v, want taken", m.ID, a.Verdict)
 	}
 }
@@ -161,11 +161,11 @@
 
 func (w *world) addUp(c Counts) {
 	w.t.Helper()
-	fresh := c.In - (c.Unknown + c.Duplicate + c.Refused + c.Failed + c.Taken) // being taken in just now
-	if fresh < 0 || c.Taken+c.Recovered+fresh != c.Delivered+c.Bounced+c.Dead+c.Withdrawn+c.Elsewhere+c.Held {
+	fresh := c.Submitted - (c.Unknown + c.Duplicate + c.Refused + c.Failed + c.Accepted) // being taken in just now
+	if fresh < 0 || c.Accepted+c.Recovered+fresh != c.Delivered+c.Bounced+c.Dead+c.Withdrawn+c.FinishedElsewhere+c.Held {
 		w.t.Errorf("messages do not add up: %+v", c)
 	}
-	sum := c.Out
+	sum := c.InFlight
 	for _, n := range c.Outcomes {
 		sum += n
 	}
@@ -175,28 +175,28 @@
 }
 
 // owed is what another process would find in the folder now.
-func (w *world) owed() []ledger.Owed {
+func (w *world) owed() []ledger.PendingMessage {
 	w.t.Helper()
 	l, err := ledger.Open(w.dir, 2<<20, quiet)
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	defer l.Close()
-	return l.Owed()
+	return l.Pending()
 }
 
 // The record stands before the client hears 202 and before a call starts, which is recorded first too.
 func TestRecordsComeFirst(t *testing.T) {
 	w := newWorld(t, t.TempDir(), nil)
-	var atStart []ledger.Owed
+	var atStart []ledger.PendingMessage
 	w.ends.onStart = func(*Call) { atStart = w.owed() }
 	w.start()
 	w.take(msg("a", "stock", 1))
 	c := testkit.Next(t, w.ends.started, "call")
-	if c.To.Dial != "127.0.0.1:1001" || len(c.Items) != 1 || c.Items[0].ID != "a" {
+	if c.To.Addr != "127.0.0.1:1001" || len(c.Items) != 1 || c.Items[0].ID != "a" {
 		t.Errorf("call: %+v", c)
 	}
-	if len(atStart) != 1 || !atStart[0].MayRun || atStart[0].Host != "s-1" || atStart[0].Attempts != 1 {
+	if len(atStart) != 1 || !atStart[0].MayHaveRun || atStart[0].MayHaveRunHost != "s-1" || atStart[0].Attempts != 1 {
 		t.Errorf("in the folder as the call starts: %+v", atStart)
 	}
 	w.finish(c, rules.OK)
@@ -242,7 +242,7 @@
 		late := msg("s", "stock", 1)
 		late.Deadline = time.Now().Add(100 * time.Millisecond)
 		w.take(late)
-		if n := testkit.Next(t, w.plat.told, "notice"); n.ID != "s" || n.Dead || n.Wait <= 0 {
+		if n := testkit.Next(t, w.plat.told, "notice"); n.ID != "s" || n.Dead || n.RetryAfter <= 0 {
 			t.Errorf("notice: %+v, want s bounced with a wait", n)
 		}
 		c := w.settled("both over", func(c Counts) bool { return c.Held == 0 })
@@ -265,8 +265,8 @@
 	w.take(msg("p", "payment", 1))
 	w.finish(testkit.Next(t, w.ends.started, "call"), rules.Reset)
 	testkit.Next(t, w.plat.told, "notice")
-	w.Noticed([]string{"p"})
-	w.settled("noticed", func(c Counts) bool { return c.Noticed == 1 })
+	w.NoticesAccepted([]string{"p"})
+	w.settled("noticed", func(c Counts) bool { return c.NoticesAccepted == 1 })
 	w.end()
 	w2 := newWorld(t, w.dir, nil).start()
 	w2.settled("recovered", func(c Counts) bool { return c.Recovered == 0 })
@@ -287,19 +287,19 @@
 	old := msg("old", "no such class", 1)
 	for _, m := range []*message.Message{msg("once-ran", "payment", 1), msg("once-refused", "payment", 1), msg("safe-out", "stock", 1),
 		late, old} {
-		if err := led.Take(m); err != nil {
+		if err := led.RecordAccepted(m); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for _, id := range []string{"once-ran", "once-refused", "safe-out"} {
-		if err := led.Call([]string{id}, []int{0}, "s-1", time.Now()); err != nil {
+		if err := led.RecordCall([]string{id}, []int{0}, "s-1", time.Now()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := led.Outcome("once-refused", 0, false, false); err != nil {
+	if err := led.RecordOutcome("once-refused", 0, false, false); err != nil {
 		t.Fatal(err)
 	}
-	if err := led.Tell(ledger.Notice{ID: "told before", Dead: true}); err != nil {
+	if err := led.RecordNotice(ledger.Notice{ID: "told before", Dead: true}); err != nil {
 		t.Fatal(err)
 	}
 	led.Close()
@@ -351,7 +351,7 @@
 		t.Errorf("%d calls started at the end", n)
 	}
 	want := 2
-	if a.Verdict == Taken {
+	if a.Verdict == Accepted {
 		want = 3
 	} else if a.Verdict != Stopped {
 		t.Errorf("verdict %v at the end", a.Verdict)
@@ -376,7 +376,7 @@
 		if got := testkit.Next(t, w.ends.recalled, "call back"); got != c {
 			t.Errorf("written %v: called back %+v, want %+v", written, got, c)
 		}
-		if owed := w.owed(); len(owed) != 1 || owed[0].MayRun != written {
+		if owed := w.owed(); len(owed) != 1 || owed[0].MayHaveRun != written {
 			t.Errorf("written %v: the next process finds %+v", written, owed)
 		}
 	}
@@ -390,7 +390,7 @@
 	w.Withdraw("a")
 	w.Withdraw("never heard of")
 	w.finish(c, rules.Errored)
-	got := w.settled("over", func(c Counts) bool { return c.Held == 0 && c.Out == 0 })
+	got := w.settled("over", func(c Counts) bool { return c.Held == 0 && c.InFlight == 0 })
 	if got.Withdrawn != 1 || got.Attempts != 1 {
 		t.Errorf("counters: %+v", got)
 	}
@@ -468,8 +468,8 @@
 			m.Deadline = time.Now().Add(150 * time.Millisecond)
 			w.take(m)
 			c := testkit.Next(t, w.ends.started, "call")
-			if c.Waiting <= 0 || c.Waiting > 150*time.Millisecond {
-				t.Errorf("the call waits %v, want the time that is left", c.Waiting)
+			if c.Timeout <= 0 || c.Timeout > 150*time.Millisecond {
+				t.Errorf("the call waits %v, want the time that is left", c.Timeout)
 			}
 			if got := testkit.Next(t, w.ends.cancelled, "end of the call"); got != c {
 				t.Errorf("another call was given up")
@@ -494,7 +494,7 @@
 		c := testkit.Next(t, w.ends.started, "call")
 		testkit.Next(t, w.ends.cancelled, "end of the call")
 		w.finish(c, rules.OK)
-		w.settled("told", func(c Counts) bool { return c.Outcomes[rules.OK] == 1 && c.Out == 0 })
+		w.settled("told", func(c Counts) bool { return c.Outcomes[rules.OK] == 1 && c.InFlight == 0 })
 	})
 }
 
@@ -535,7 +535,7 @@
 			m.Deadline = time.Now().Add(left)
 			w.finished(c.flight, Result{Written: true, Items: []ItemResult{{Outcome: rules.OK}}})
 			w.step()
-			if got := w.snapshot(); len(w.plat.told) != told || got.Delivered != 1 || got.Held != 0 || got.Out != 0 {
+			if got := w.snapshot(); len(w.plat.told) != told || got.Delivered != 1 || got.Held != 0 || got.InFlight != 0 {
 				t.Errorf("with %v left: %d notices, want %d; counters %+v", left, len(w.plat.told), told, got)
 			}
 			if owed := len(w.owed()) + len(w.led.Notices()); owed != told {
@@ -552,9 +552,9 @@
 	w := begin(t, nil)
 	w.take(msg("a", "stock", 1))
 	c := testkit.Next(t, w.ends.started, "call")
-	w.Finish(c, Result{Written: true, Items: []ItemResult{{Outcome: rules.NotSent, Over: true}}})
+	w.Finish(c, Result{Written: true, Items: []ItemResult{{Outcome: rules.NotSent, Finished: true}}})
 	got := w.settled("over", func(c Counts) bool { return c.Held == 0 })
-	if got.Elsewhere != 1 || len(w.plat.told) != 0 {
+	if got.FinishedElsewhere != 1 || len(w.plat.told) != 0 {
 		t.Errorf("%d notices, counters %+v", len(w.plat.told), got)
 	}
 	w.take(msg("b", "stock", 1))
@@ -570,7 +570,7 @@
 func TestMovedEndpointGetsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := begin(t, nil)
-		w.List(Listing{Whole: true, Hosts: []Host{{Peer: Peer{"s-1", "127.0.0.1:1001"}, Dest: 9}}})
+		w.ApplyListing(Listing{Whole: true, Hosts: []Host{{Peer: Peer{"s-1", "127.0.0.1:1001"}, Dest: 9}}})
 		m := msg("a", "stock", 1)
 		m.Deadline = time.Now().Add(200 * time.Millisecond)
 		w.take(m)
@@ -595,7 +595,7 @@
 		w := begin(t, nil)
 		w.take(msg("a", "stock", 1))
 		c := testkit.Next(t, w.ends.started, "call")
-		w.List(list)
+		w.ApplyListing(list)
 		if got := testkit.Next(t, w.ends.recalled, "call back"); got != c {
 			t.Errorf("%s: called back %+v, want %+v", name, got, c)
 		}
@@ -608,7 +608,7 @@
 // A change of an endpoint that no list has named: one that has gone is none, one that drains gets nothing, one that is there is new.
 func TestAChangeOfWhatWasNeverListed(t *testing.T) {
 	w := begin(t, nil)
-	w.List(Listing{Hosts: []Host{{Peer: Peer{"s-7", "127.0.0.1:1007"}, Dest: 7, Gone: true}, {Peer: Peer{"s-8", "127.0.0.1:1008"}, Dest: 1, Draining: true},
+	w.ApplyListing(Listing{Hosts: []Host{{Peer: Peer{"s-7", "127.0.0.1:1007"}, Dest: 7, Gone: true}, {Peer: Peer{"s-8", "127.0.0.1:1008"}, Dest: 1, Draining: true},
 		{Peer: Peer{"s-9", "127.0.0.1:1009"}, Dest: 9}}})
 	if a := w.Submit(msg("gone", "stock", 7)); a.Verdict != Unknown {
 		t.Errorf("verdict %v for a destination of which only a removal was told", a.Verdict)
@@ -625,7 +625,7 @@
 		}
 		w.finish(c, rules.OK)
 	}
-	w.List(Listing{Hosts: []Host{{Peer: Peer{Name: "s-9"}, Gone: true}, {Peer: Peer{Name: "s-9"}, Gone: true}}}) // told twice
+	w.ApplyListing(Listing{Hosts: []Host{{Peer: Peer{Name: "s-9"}, Gone: true}, {Peer: Peer{Name: "s-9"}, Gone: true}}}) // told twice
 	w.take(msg("after", "stock", 1))
 	testkit.Next(t, w.ends.started, "call")
 }
@@ -633,11 +633,11 @@
 // Room for the list of endpoints is the ledger's to grant; an exchange that has ended grants none, and nobody waits for it.
 func TestRoomForTheList(t *testing.T) {
 	w := begin(t, nil)
-	if !w.SetAside(100_000) || w.SetAside(2<<20) {
+	if !w.ReserveListSpace(100_000) || w.ReserveListSpace(2<<20) {
 		t.Error("room is not granted as the ledger has it")
 	}
 	w.end()
-	if w.SetAside(1) {
+	if w.ReserveListSpace(1) {
 		t.Error("room granted after the end")
 	}
 }
@@ -665,19 +665,19 @@
 		})
 		earlier := time.Now().Add(-time.Second)
 		m := msg("before", "stock", 1)
-		for _, err := range []error{w.led.Take(m), w.led.Call([]string{m.ID}, []int{0}, "s-1", earlier), w.led.Outcome(m.ID, 0, true, true)} {
+		for _, err := range []error{w.led.RecordAccepted(m), w.led.RecordCall([]string{m.ID}, []int{0}, "s-1", earlier), w.led.RecordOutcome(m.ID, 0, true, true)} {
 			if err != nil {
 				t.Fatal(err)
 			}
 		}
 		w.start()
 		c := testkit.Next(t, w.ends.started, "repeat")
-		if late := c.LeaveBy.Sub(earlier); late > window || late < window-100*time.Millisecond {
+		if late := c.WriteBy.Sub(earlier); late > window || late < window-100*time.Millisecond {
 			t.Errorf("the repeat leaves up to %v after the first attempt, the window is %v", late, window)
 		}
 		w.take(msg("new", "stock", 1))
-		if c := testkit.Next(t, w.ends.started, "call"); !c.LeaveBy.IsZero() {
-			t.Errorf("a first attempt has to leave by %v", c.LeaveBy)
+		if c := testkit.Next(t, w.ends.started, "call"); !c.WriteBy.IsZero() {
+			t.Errorf("a first attempt has to leave by %v", c.WriteBy)
 		}
 	})
 }
@@ -691,20 +691,20 @@
 		})
 		earlier := time.Now()
 		m := msg("before", "stock", 1)
-		for _, err := range []error{w.led.Take(m), w.led.Call([]string{m.ID}, []int{0}, "s-1", earlier), w.led.Outcome(m.ID, 0, true, true)} {
+		for _, err := range []error{w.led.RecordAccepted(m), w.led.RecordCall([]string{m.ID}, []int{0}, "s-1", earlier), w.led.RecordOutcome(m.ID, 0, true, true)} {
 			if err != nil {
 				t.Fatal(err)
 			}
 		}
 		time.Sleep(time.Second)
 		w.listed(known)
-		for _, o := range w.led.Owed() {
+		for _, o := range w.led.Pending() {
 			w.restore(o)
 		}
 		time.Sleep(200 * time.Millisecond) // the rest of a large ledger, on a busy machine
 		w.step()
 		c := testkit.Next(t, w.ends.started, "repeat")
-		if late := c.LeaveBy.Sub(earlier); late > window || late < window-100*time.Millisecond {
+		if late := c.WriteBy.Sub(earlier); late > window || late < window-100*time.Millisecond {
 			t.Errorf("the repeat leaves up to %v after the first attempt, the window is %v", late, window)
 		}
 		w.led.Close()
@@ -728,7 +728,7 @@
 			ends   bool // a written call is given up
 		}{
 			{"a wait", func(w *world, _, other *Call) {
-				w.finished(other.flight, Result{Written: true, Items: []ItemResult{{Outcome: rules.Errored, Wait: 4 * time.Second}}})
+				w.finished(other.flight, Result{Written: true, Items: []ItemResult{{Outcome: rules.Errored, RetryAfter: 4 * time.Second}}})
 			}, 4 * time.Second, 3, false},
 			{"the end of a message", func(w *world, _, other *Call) { ok(w, other); w.later(14 * time.Second) }, 100 * time.Millisecond, 2, true},
 			{"a withdrawal", func(w *world, first, other *Call) { ok(w, other); w.Withdraw(first.Items[1].ID); w.drain() }, 100 * time.Millisecond, 2, false},
@@ -741,8 +741,8 @@
 				w.later(time.Second) // the last one has waited its time for company
 				w.step()
 				first, other := <-w.ends.started, <-w.ends.started
-				if first.Waiting > 15*time.Second {
-					t.Errorf("the call waits %v, want until the first of its messages ends", first.Waiting)
+				if first.Timeout > 15*time.Second {
+					t.Errorf("the call waits %v, want until the first of its messages ends", first.Timeout)
 				}
 				c.strike(w, first, other)
 				w.step()
@@ -769,7 +769,7 @@
 					t.Errorf("%s, written %v: %d calls given up, want one if it ends", c.name, written, n)
 				}
 				if written {
-					out := w.snapshot().Out
+					out := w.snapshot().InFlight
 					w.finished(first.flight, Result{Written: true, Items: slices.Repeat([]ItemResult{{Outcome: rules.Cancelled}}, 3)})
 					if w.step(); out != 3 || c.ends && w.snapshot().Outcomes[rules.TimedOut] != 3 {
 						t.Errorf("%s: %d attempts out before the call has ended, counters %+v", c.name, out, w.snapshot())
@@ -807,7 +807,7 @@
 	w := begin(t, nil)
 	w.take(msg("a", "stock", 1))
 	c := testkit.Next(t, w.ends.started, "call")
-	w.Finish(c, Result{Written: true, Items: []ItemResult{{Outcome: rules.OK, Wait: time.Hour}}})
+	w.Finish(c, Result{Written: true, Items: []ItemResult{{Outcome: rules.OK, RetryAfter: time.Hour}}})
 	w.settled("delivered", func(c Counts) bool { return c.Delivered == 1 })
 	if a := w.Submit(msg("b", "stock", 1)); a.Verdict != Refused || a.RetryAfter != 3*time.Second {
 		t.Errorf("handed in during a wait that outlasts it: %+v, want refused with the longest advice", a)
@@ -828,7 +828,7 @@
 }
 
 func TestCountersAreNamed(t *testing.T) {
-	text := Counts{In: 3, Outcomes: [rules.NotSent + 1]int{rules.Refused: 2}}.LogValue().String()
+	text := Counts{Submitted: 3, Outcomes: [rules.NotSent + 1]int{rules.Refused: 2}}.LogValue().String()
 	for _, want := range []string{"in=3", "full=2", "delivered=0", "not_sent=0"} {
 		if !strings.Contains(text, want) {
 			t.Errorf("%q not in %s", want, text)
@@ -850,13 +850,13 @@
 		w.listed(Listing{Hosts: []Host{{Peer: peer, Dest: 1}}})
 		if i > 0 {
 			w.listed(Listing{Hosts: []Host{{Peer: Peer{Name: fmt.Sprint("new-", i-1)}, Gone: true}}})
-			if left := <-w.ends.closed; left.Name != fmt.Sprint("new-", i-1) || left.Dial == "" {
+			if left := <-w.ends.closed; left.Name != fmt.Sprint("new-", i-1) || left.Addr == "" {
 				t.Fatalf("idle connections to %v are closed", left)
 			}
 		}
 		w.Exchange.take(msg(fmt.Sprint("m", i), "stock", 1), replies)
 		w.step()
-		if a := <-replies; a.Verdict != Taken {
+		if a := <-replies; a.Verdict != Accepted {
 			t.Fatalf("message %d: %+v", i, a)
 		}
 		c := <-w.ends.started
@@ -934,7 +934,7 @@
 	for _, c := range []struct {
 		r    ItemResult
 		want bool
-	}{{ItemResult{Outcome: rules.ConnectError}, true}, {ItemResult{Outcome: rules.ConnectError, NoPlace: true}, false},
+	}{{ItemResult{Outcome: rules.ConnectError}, true}, {ItemResult{Outcome: rules.ConnectError, ConnectionLimitReached: true}, false},
 		{ItemResult{Outcome: rules.Refused}, false}, {ItemResult{Outcome: rules.NotSent}, false},
 		{ItemResult{Outcome: rules.Reset}, true}, {ItemResult{Outcome: rules.TimedOut}, true}, {ItemResult{Outcome: rules.Errored}, true}} {
 		if got := failed(c.r); got != c.want {
--- a/internal/exchange/kill_test.go
+++ b/internal/exchange/kill_test.go
@@ -62,7 +62,7 @@
 		stops = append(stops, size())
 		w.later(time.Second)
 		step()
-		if (<-reply).Verdict == Taken {
+		if (<-reply).Verdict == Accepted {
 			note("taken", id)
 		}
 	}
@@ -108,8 +108,8 @@
 		return slices.ContainsFunc(done, func(d deed) bool { return d.what == what && d.id == id && d.at <= int64(len(text)) })
 	}
 	w := newWorld(t, dir, nil)
-	owed := map[string]ledger.Owed{}
-	for _, o := range w.led.Owed() {
+	owed := map[string]ledger.PendingMessage{}
+	for _, o := range w.led.Pending() {
 		owed[o.Message.ID] = o
 	}
 	w.Recover()
@@ -138,7 +138,7 @@
 			t.Errorf("killed at %d: %s may have run and is sent again (%+v)", len(text), id, o)
 		case held && once && by("called", id) && !told[id]:
 			t.Errorf("killed at %d: %s may have run and is not told of", len(text), id)
-		case held && !o.MayRun && !sent[id] && !told[id]:
+		case held && !o.MayHaveRun && !sent[id] && !told[id]:
 			t.Errorf("killed at %d: %s is untried and not sent", len(text), id)
 		case !held && sent[id]:
 			t.Errorf("killed at %d: %s is over and sent", len(text), id)
--- a/internal/exchange/memory_bench_test.go
+++ b/internal/exchange/memory_bench_test.go
@@ -19,7 +19,7 @@
 func whole(n int) Listing {
 	l := Listing{Whole: true, Hosts: make([]Host, n)}
 	for i := range l.Hosts {
-		l.Hosts[i] = Host{Peer: Peer{Name: fmt.Sprintf("s-%08x", i*2654435761%(1<<32)), Dial: fmt.Sprintf("10.%d.%d.%d:%d", i>>16, i>>8&255, i&255, 9000+i%999)},
+		l.Hosts[i] = Host{Peer: Peer{Name: fmt.Sprintf("s-%08x", i*2654435761%(1<<32)), Addr: fmt.Sprintf("10.%d.%d.%d:%d", i>>16, i>>8&255, i&255, 9000+i%999)},
 			Dest: i, Kind: i % 3, Zone: i % 7, Rate: 1 + float64(i%50)}
 	}
 	return l
--- a/internal/exchange/observe.go
+++ b/internal/exchange/observe.go
@@ -38,9 +38,9 @@
 	switch {
 	case host == "":
 	case t.To == rules.Healthy:
-		x.record(x.cfg.Ledger.OutageOver(host))
+		x.record(x.cfg.Ledger.RecordOutageEnd(host))
 	case t.From == rules.Healthy:
-		if err := x.cfg.Ledger.Outage(ledger.Outage{Host: host, At: time.Now(), Rate: t.PreOutageRate}); !errors.Is(err, ledger.ErrFull) { // it is a hint
+		if err := x.cfg.Ledger.RecordOutage(ledger.Outage{Host: host, At: time.Now(), Rate: t.PreOutageRate}); !errors.Is(err, ledger.ErrFull) { // it is a hint
 			x.record(err)
 		}
 	}
--- a/internal/exchange/step.go
+++ b/internal/exchange/step.go
@@ -47,7 +47,7 @@
 
 // take takes in a message, unless it cannot be kept.
 func (x *Exchange) take(m *message.Message, reply chan Answer) {
-	x.counts.In++
+	x.counts.Submitted++
 	class, known := x.classes[m.Class]
 	switch {
 	case !known || !x.dir.knows(m.Dest):
@@ -58,7 +58,7 @@
 		x.counts.Duplicate++
 		reply <- Answer{Verdict: Duplicate}
 		return
-	case len(x.held) >= x.cfg.Settings.MaxHeld || x.record(x.cfg.Ledger.Take(m)) != nil:
+	case len(x.held) >= x.cfg.Settings.MaxHeld || x.record(x.cfg.Ledger.RecordAccepted(m)) != nil:
 		x.counts.Refused++
 		reply <- Answer{Verdict: Refused, RetryAfter: x.retryAfter(x.cfg.Settings.MaxRetryAfter)}
 		return
@@ -123,7 +123,7 @@
 	}
 	x.send(now, sends)
 	for _, h := range x.fresh {
-		x.answer(h, Answer{Verdict: Taken})
+		x.answer(h, Answer{Verdict: Accepted})
 	}
 	x.fresh = x.fresh[:0]
 }
@@ -144,8 +144,8 @@
 	if h.reply == nil {
 		return
 	}
-	if a.Verdict == Taken {
-		x.counts.Taken++
+	if a.Verdict == Accepted {
+		x.counts.Accepted++
 	}
 	h.reply <- a
 	h.reply = nil
@@ -160,7 +160,7 @@
 // over drops a message of which nothing more is owed.
 func (x *Exchange) over(h *held) {
 	x.drop(h)
-	x.record(x.cfg.Ledger.End(h.msg.ID))
+	x.record(x.cfg.Ledger.RecordEnd(h.msg.ID))
 }
 
 // refuse ends a message: in the answer if the client still waits for it, else by a notice.
@@ -173,7 +173,7 @@
 		x.over(h)
 	default:
 		x.counts.Bounced++
-		x.tell(h, ledger.Notice{ID: h.msg.ID, Wait: after})
+		x.tell(h, ledger.Notice{ID: h.msg.ID, RetryAfter: after})
 	}
 }
 
@@ -194,17 +194,17 @@
 func (x *Exchange) tell(h *held, n ledger.Notice) {
 	x.giveUpAll(rules.TimedOut, carries(h.msg)) // nothing may reach an endpoint from now on
 	x.drop(h)
-	x.record(x.cfg.Ledger.Tell(n))
-	x.cfg.Platform.Tell(n)
+	x.record(x.cfg.Ledger.RecordNotice(n))
+	x.cfg.Platform.EnqueueNotice(n)
 }
 
 // record counts a record that the ledger could not write; the sender goes on without it.
 func (x *Exchange) record(err error) error {
 	if err != nil {
-		if x.counts.Unrecorded == 0 {
+		if x.counts.RecordsFailed == 0 {
 			x.cfg.Log.Error("a record could not be written; further ones are only counted", "err", err)
 		}
-		x.counts.Unrecorded++
+		x.counts.RecordsFailed++
 	}
 	return err
 }
@@ -238,9 +238,9 @@
 			order = append(order, f)
 		}
 		f.items = append(f.items, it)
-		f.call.Waiting = max(f.call.Waiting, patience)
-		if by := x.clock(now + s.WriteWithin); s.WriteWithin > 0 && (f.call.LeaveBy.IsZero() || by.Before(f.call.LeaveBy)) {
-			f.call.LeaveBy = by
+		f.call.Timeout = max(f.call.Timeout, patience)
+		if by := x.clock(now + s.WriteWithin); s.WriteWithin > 0 && (f.call.WriteBy.IsZero() || by.Before(f.call.WriteBy)) {
+			f.call.WriteBy = by
 		}
 	}
 	for _, f := range order {
@@ -260,18 +260,18 @@
 	host := x.dir.host(f.ep)
 	var ids []string
 	var nums []int
-	misrouted := host.Dial == ""
+	misrouted := host.Addr == ""
 	for _, it := range f.items {
 		f.call.Items = append(f.call.Items, it.msg)
-		f.call.Waiting = min(f.call.Waiting, x.moment(it.msg.Deadline)-f.sent)
+		f.call.Timeout = min(f.call.Timeout, x.moment(it.msg.Deadline)-f.sent)
 		ids, nums = append(ids, it.msg.ID), append(nums, it.num)
 		misrouted = misrouted || it.msg.Dest != host.Dest
 	}
-	f.due = f.sent + f.call.Waiting
+	f.due = f.sent + f.call.Timeout
 	if misrouted {
 		x.cfg.Log.Error("a call to an endpoint of another destination was held back", "endpoint", host.Name)
 	}
-	if misrouted || x.record(x.cfg.Ledger.Call(ids, nums, host.Name, time.Now())) != nil {
+	if misrouted || x.record(x.cfg.Ledger.RecordCall(ids, nums, host.Name, time.Now())) != nil {
 		for i := range f.items {
 			x.ended(f, i, ItemResult{Outcome: rules.NotSent})
 		}
@@ -364,19 +364,19 @@
 		x.counts.Delivered++
 		x.delivered(h)
 		over = true
-	case r.Over:
-		x.counts.Elsewhere++
+	case r.Finished:
+		x.counts.FinishedElsewhere++
 		x.over(h)
 		over = true
 	default:
-		x.record(x.cfg.Ledger.Outcome(it.msg.ID, it.num, r.Outcome.MayHaveRun(), failed(r)))
+		x.record(x.cfg.Ledger.RecordOutcome(it.msg.ID, it.num, r.Outcome.MayHaveRun(), failed(r)))
 	}
 	x.trace("outcome", func() []any {
 		return []any{"id", it.msg.ID, "attempt", it.num, "endpoint", x.dir.host(f.ep).Name, "outcome", outcomeNames[r.Outcome],
-			"elapsed", x.now() - f.sent, "wait", r.Wait, "over", over}
+			"elapsed", x.now() - f.sent, "wait", r.RetryAfter, "over", over}
 	})
 	x.events = append(x.events, rules.AttemptEnded{ID: rules.MessageID(it.msg.ID), Attempt: it.num, Endpoint: f.ep,
-		Outcome: r.Outcome, Elapsed: x.now() - f.sent, Finished: over, RetryAfter: r.Wait, NoFreeSlot: r.NoSlot, ConnectionLimitReached: r.NoPlace, Recalled: r.Recalled, Report: r.Report})
+		Outcome: r.Outcome, Elapsed: x.now() - f.sent, Finished: over, RetryAfter: r.RetryAfter, NoFreeSlot: r.NoFreeSlot, ConnectionLimitReached: r.ConnectionLimitReached, Recalled: r.Recalled, Report: r.Report})
 }
 
 // delivered ends a message that an endpoint has accepted. One accepted as its time ran out, or after it and before the step that
@@ -397,5 +397,5 @@
 
 // failed tells whether a result speaks of an endpoint in trouble rather than of a limit or a full table.
 func failed(r ItemResult) bool {
-	return r.Outcome.MayHaveRun() || r.Outcome == rules.ConnectError && !r.NoPlace
+	return r.Outcome.MayHaveRun() || r.Outcome == rules.ConnectError && !r.ConnectionLimitReached
 }
--- a/internal/intake/endings_test.go
+++ b/internal/intake/endings_test.go
@@ -55,7 +55,7 @@
 		if rest := p.end(); rest != "" {
 			t.Errorf("%s: %q behind the last answer", name, rest)
 		}
-		if in := s.x.Counts().In; in > 1 {
+		if in := s.x.Counts().Submitted; in > 1 {
 			t.Errorf("%s: what came behind the last request was taken on", name)
 		}
 	}
@@ -82,7 +82,7 @@
 	}
 	p.Conn.Close()
 	<-closed
-	if in := s.x.Counts().In; in != 1 {
+	if in := s.x.Counts().Submitted; in != 1 {
 		t.Errorf("%d messages handed on, want the first alone", in)
 	}
 }
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -31,7 +31,7 @@
 func (void) CloseIdle(exchange.Peer)              {}
 func (void) Cancel()                              {}
 func (void) Recall() bool                         { return false }
-func (void) Tell(ledger.Notice)                   {}
+func (void) EnqueueNotice(ledger.Notice)          {}
 func (void) Watch()                               {}
 
 // site is a server before an exchange whose calls never end.
@@ -56,8 +56,8 @@
 		set(settings)
 	}
 	x := exchange.New(exchange.Config{Settings: settings, Classes: []string{"stock"}, Ledger: led, Caller: void{},
-		Platform: void{}, Log: quiet, Known: exchange.Listing{Whole: true,
-			Hosts: []exchange.Host{{Peer: exchange.Peer{Name: "s", Dial: "127.0.0.1:1"}, Dest: 7}}}})
+		Platform: void{}, Log: quiet, InitialListing: exchange.Listing{Whole: true,
+			Hosts: []exchange.Host{{Peer: exchange.Peer{Name: "s", Addr: "127.0.0.1:1"}, Dest: 7}}}})
 	x.Recover()
 	go x.Run()
 	s := &site{t: t, x: x}
@@ -141,7 +141,7 @@
 	if r := p.answer(); r.Status != 202 || !r.Close || !p.closed() {
 		t.Errorf("a request that closes: %+v", r)
 	}
-	if c := s.x.Counts(); c.Taken != 4 || c.Held != 4 {
+	if c := s.x.Counts(); c.Accepted != 4 || c.Held != 4 {
 		t.Errorf("counters: %+v", c)
 	}
 }
@@ -228,7 +228,7 @@
 		{Name: "Req-Deadline-Ms", Value: "5"}, {Name: "Envelope", Value: "dest=7"}, {Name: "Req-Owner", Value: "till"},
 		{Name: "idempotency-key", Value: "k1"}}}
 	m, err := s.message("stock", req, nil, time.Now())
-	if err != nil || m.Key != "k1" || m.Tenant != "till" {
+	if err != nil || m.IdempotencyKey != "k1" || m.Tenant != "till" {
 		t.Errorf("got %+v, %v", m, err)
 	}
 }
--- a/internal/intake/request.go
+++ b/internal/intake/request.go
@@ -46,11 +46,11 @@
 	}
 	s.Counts.Submitted.Add(1)
 	got := s.cfg.Exchange.Submit(m)
-	if got.Verdict == exchange.Taken && time.Since(arrived) > clientPatience && c.gone() {
+	if got.Verdict == exchange.Accepted && time.Since(arrived) > clientPatience && c.gone() {
 		s.cfg.Exchange.Withdraw(m.ID)
 		return answer{}, ""
 	}
-	if got.Verdict == exchange.Taken {
+	if got.Verdict == exchange.Accepted {
 		return answer{status: 202, proves: true}, m.ID
 	}
 	return verdict(got), ""
@@ -120,7 +120,7 @@
 	if !ok {
 		return nil, fmt.Errorf("bad Envelope")
 	}
-	return &message.Message{ID: id, Class: class, Dest: dest, Tenant: req.Header.Get("Req-Owner"), Key: key, Body: body,
+	return &message.Message{ID: id, Class: class, Dest: dest, Tenant: req.Header.Get("Req-Owner"), IdempotencyKey: key, Body: body,
 		Deadline: arrived.Add(time.Duration(ms) * time.Millisecond)}, nil
 }
 
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -26,8 +26,8 @@
 
 // The list of endpoints lies in the ledger's folder, see package snapshot: the file, and another one while it is written anew.
 const (
-	ListFile  = "endpoints.list"
-	ListAside = "endpoints.list.new"
+	ListFile     = "endpoints.list"
+	ListTempFile = "endpoints.list.new"
 )
 
 const (
@@ -37,20 +37,20 @@
 )
 
 // Owed is a message that still has no end.
-type Owed struct {
-	Message  *message.Message
-	Attempts int
-	MayRun   bool // an attempt may have run: At and Host tell of the earliest
-	At       time.Time
-	Host     string
-	Failed   int // attempts that failed, other than by being turned away; those before a copy forward are not counted
+type PendingMessage struct {
+	Message        *message.Message
+	Attempts       int
+	MayHaveRun     bool // an attempt may have run: At and Host tell of the earliest
+	MayHaveRunAt   time.Time
+	MayHaveRunHost string
+	FailedAttempts int // attempts that failed, other than by being turned away; those before a copy forward are not counted
 }
 
 // Notice is an end that the platform has still to be told.
 type Notice struct {
-	ID   string
-	Dead bool
-	Wait time.Duration // for one that is not dead: when to come back
+	ID         string
+	Dead       bool
+	RetryAfter time.Duration // for one that is not dead: when to come back
 }
 
 // Outage is an endpoint that the sender took for out, and had not yet seen warm again.
@@ -64,7 +64,7 @@
 func outageID(host string) string { return "\x00outage " + host }
 
 // Stats counts what was found on opening.
-type Stats struct{ Broken int }
+type Stats struct{ BrokenRecords int }
 
 type attempt struct {
 	num  int
@@ -157,7 +157,7 @@
 	if err != nil {
 		return err
 	}
-	if f.Name() == ListFile || f.Name() == ListAside {
+	if f.Name() == ListFile || f.Name() == ListTempFile {
 		l.aside += cost(info.Size())
 		return nil
 	}
@@ -184,7 +184,7 @@
 		return ok
 	})
 	if broken > 0 {
-		l.stats.Broken += broken
+		l.stats.BrokenRecords += broken
 		l.log.Warn("broken records in the ledger skipped", "segment", s.num, "count", broken)
 	}
 	return nil
@@ -202,7 +202,7 @@
 		s.settleIn(e, size)
 	case kindNotice:
 		l.settle(r.id, e)
-		e = &entry{seq: r.seq, notice: &Notice{ID: r.id, Dead: r.dead, Wait: r.wait}}
+		e = &entry{seq: r.seq, notice: &Notice{ID: r.id, Dead: r.dead, RetryAfter: r.wait}}
 		l.seq = max(l.seq, r.seq)
 		l.entries[r.id] = e
 		s.settleIn(e, size)
@@ -261,7 +261,7 @@
 
 // Owed returns the messages without an end, in the order in which they were taken on. An attempt without an
 // outcome counts as one that may have run.
-func (l *Ledger) Owed() []Owed {
+func (l *Ledger) Pending() []PendingMessage {
 	var list []*entry
 	for _, e := range l.entries {
 		if e.msg != nil {
@@ -269,7 +269,7 @@
 		}
 	}
 	slices.SortFunc(list, func(a, b *entry) int { return cmp.Compare(a.seq, b.seq) })
-	out := make([]Owed, len(list))
+	out := make([]PendingMessage, len(list))
 	for i, e := range list {
 		mayRun, ran := e.mayRun, e.ran
 		for _, a := range e.open {
@@ -277,7 +277,7 @@
 				mayRun, ran = true, a
 			}
 		}
-		out[i] = Owed{Message: e.msg, Attempts: e.attempts, MayRun: mayRun, At: ran.at, Host: ran.host, Failed: e.failed}
+		out[i] = PendingMessage{Message: e.msg, Attempts: e.attempts, MayHaveRun: mayRun, MayHaveRunAt: ran.at, MayHaveRunHost: ran.host, FailedAttempts: e.failed}
 	}
 	return out
 }
@@ -299,8 +299,8 @@
 }
 
 // Take records a message taken on. ErrFull leaves nothing behind.
-func (l *Ledger) Take(m *message.Message) error {
-	need := int64(len(m.Body)+len(m.Tenant)+len(m.Key)) + 2*block + l.reserve()
+func (l *Ledger) RecordAccepted(m *message.Message) error {
+	need := int64(len(m.Body)+len(m.Tenant)+len(m.IdempotencyKey)) + 2*block + l.reserve()
 	if l.used()+need > l.limit {
 		l.compact()
 	}
@@ -316,12 +316,12 @@
 
 // Call records that a call with these messages, each with the number of its attempt, is about to go out. Only
 // then may its bytes be written.
-func (l *Ledger) Call(ids []string, nums []int, host string, at time.Time) error {
+func (l *Ledger) RecordCall(ids []string, nums []int, host string, at time.Time) error {
 	return l.write(record{kind: kindCall, ids: ids, nums: nums, ran: attempt{at: at, host: host}})
 }
 
 // Outcome records how an attempt ended: whether it may have run, and whether it failed other than by being turned away.
-func (l *Ledger) Outcome(id string, num int, mayRun, failed bool) error {
+func (l *Ledger) RecordOutcome(id string, num int, mayRun, failed bool) error {
 	if l.entries[id] == nil {
 		return nil
 	}
@@ -329,16 +329,16 @@
 }
 
 // End records that nothing more is owed for a message: it is over, or the notice of its end was accepted.
-func (l *Ledger) End(ids ...string) error { return l.write(record{kind: kindEnd, ids: ids}) }
+func (l *Ledger) RecordEnd(ids ...string) error { return l.write(record{kind: kindEnd, ids: ids}) }
 
 // Tell records the end of a message of which the platform has to be told.
-func (l *Ledger) Tell(n Notice) error {
+func (l *Ledger) RecordNotice(n Notice) error {
 	l.seq++
-	return l.write(record{kind: kindNotice, id: n.ID, seq: l.seq, dead: n.Dead, wait: n.Wait})
+	return l.write(record{kind: kindNotice, id: n.ID, seq: l.seq, dead: n.Dead, wait: n.RetryAfter})
 }
 
 // Outage records that the sender takes an endpoint for out. It is a hint, and gives way where room is short.
-func (l *Ledger) Outage(o Outage) error {
+func (l *Ledger) RecordOutage(o Outage) error {
 	if l.used()+int64(len(o.Host))+2*block+l.reserve() > l.limit {
 		return ErrFull
 	}
@@ -347,11 +347,11 @@
 }
 
 // OutageOver records that an endpoint is well again.
-func (l *Ledger) OutageOver(host string) error {
+func (l *Ledger) RecordOutageEnd(host string) error {
 	if l.entries[outageID(host)] == nil {
 		return nil
 	}
-	return l.End(outageID(host))
+	return l.RecordEnd(outageID(host))
 }
 
 // Outages returns the outages that are not over, oldest first.
@@ -376,7 +376,7 @@
 // SetAside makes this the room for the list of endpoints, all its files together. It is false, and changes nothing, if that is
 // more than it has and over a quarter of the bound, or would not leave free what Take keeps for the calls and ends of what is held: a list
 // can be had again.
-func (l *Ledger) SetAside(bytes int64) bool {
+func (l *Ledger) ReserveListSpace(bytes int64) bool {
 	bytes = cost(bytes) + block // two files at most, in whole blocks each
 	if more := bytes - l.aside; more > 0 && (bytes > l.limit/4 || l.used()+more+l.reserve() > l.limit) {
 		return false
@@ -524,7 +524,7 @@
 		return record{kind: kindOutage, seq: e.seq, ran: attempt{at: e.outage.At, host: e.outage.Host}, rate: e.outage.Rate}
 	}
 	if e.notice != nil {
-		return record{kind: kindNotice, id: e.notice.ID, seq: e.seq, dead: e.notice.Dead, wait: e.notice.Wait}
+		return record{kind: kindNotice, id: e.notice.ID, seq: e.seq, dead: e.notice.Dead, wait: e.notice.RetryAfter}
 	}
 	return record{kind: kindKeep, id: e.msg.ID, seq: e.seq, msg: e.msg, attempts: e.attempts, open: e.open,
 		mayRun: e.mayRun, ran: e.ran}
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -33,7 +33,7 @@
 }
 
 func msg(id string, size int) *message.Message {
-	return &message.Message{ID: id, Class: "stock", Dest: 7, Tenant: "till", Key: "k-" + id, Deadline: noon.Add(16 * time.Second),
+	return &message.Message{ID: id, Class: "stock", Dest: 7, Tenant: "till", IdempotencyKey: "k-" + id, Deadline: noon.Add(16 * time.Second),
 		Body: bytes.Repeat([]byte("b"), size)}
 }
 
@@ -63,44 +63,44 @@
 	dir := t.TempDir()
 	l := open(t, dir, testLimit)
 	for _, id := range []string{"new", "out", "refused", "ran", "gone", "bounced", "dead", "told"} {
-		must(t, l.Take(msg(id, 3)))
-	}
-	must(t, l.Call([]string{"out", "refused"}, []int{0, 0}, "s-1", noon))
-	must(t, l.Outcome("refused", 0, false, false))
-	must(t, l.Call([]string{"ran"}, []int{0}, "s-2", noon.Add(time.Second)))
-	must(t, l.Outcome("ran", 0, true, false))
-	must(t, l.Call([]string{"ran"}, []int{1}, "s-3", noon.Add(2*time.Second)))
-	must(t, l.Outcome("ran", 1, true, false))
-	must(t, l.End("gone"))
-	must(t, l.Tell(Notice{ID: "bounced", Wait: 1500 * time.Millisecond}))
-	must(t, l.Tell(Notice{ID: "dead", Dead: true}))
-	must(t, l.Tell(Notice{ID: "told", Dead: true}))
-	must(t, l.End("told"))
+		must(t, l.RecordAccepted(msg(id, 3)))
+	}
+	must(t, l.RecordCall([]string{"out", "refused"}, []int{0, 0}, "s-1", noon))
+	must(t, l.RecordOutcome("refused", 0, false, false))
+	must(t, l.RecordCall([]string{"ran"}, []int{0}, "s-2", noon.Add(time.Second)))
+	must(t, l.RecordOutcome("ran", 0, true, false))
+	must(t, l.RecordCall([]string{"ran"}, []int{1}, "s-3", noon.Add(2*time.Second)))
+	must(t, l.RecordOutcome("ran", 1, true, false))
+	must(t, l.RecordEnd("gone"))
+	must(t, l.RecordNotice(Notice{ID: "bounced", RetryAfter: 1500 * time.Millisecond}))
+	must(t, l.RecordNotice(Notice{ID: "dead", Dead: true}))
+	must(t, l.RecordNotice(Notice{ID: "told", Dead: true}))
+	must(t, l.RecordEnd("told"))
 
 	l = open(t, dir, testLimit)
-	want := []Owed{
+	want := []PendingMessage{
 		{Message: msg("new", 3)},
-		{Message: msg("out", 3), Attempts: 1, MayRun: true, At: noon, Host: "s-1"},
+		{Message: msg("out", 3), Attempts: 1, MayHaveRun: true, MayHaveRunAt: noon, MayHaveRunHost: "s-1"},
 		{Message: msg("refused", 3), Attempts: 1},
-		{Message: msg("ran", 3), Attempts: 2, MayRun: true, At: noon.Add(time.Second), Host: "s-2"},
+		{Message: msg("ran", 3), Attempts: 2, MayHaveRun: true, MayHaveRunAt: noon.Add(time.Second), MayHaveRunHost: "s-2"},
 	}
-	got := l.Owed()
+	got := l.Pending()
 	if len(got) != len(want) {
 		t.Fatalf("%d messages owed, want %d: %+v", len(got), len(want), got)
 	}
 	for i, w := range want {
 		g := got[i]
-		if g.Message.ID != w.Message.ID || g.Attempts != w.Attempts || g.MayRun != w.MayRun || g.Host != w.Host ||
-			w.MayRun && !g.At.Equal(w.At) {
+		if g.Message.ID != w.Message.ID || g.Attempts != w.Attempts || g.MayHaveRun != w.MayHaveRun || g.MayHaveRunHost != w.MayHaveRunHost ||
+			w.MayHaveRun && !g.MayHaveRunAt.Equal(w.MayHaveRunAt) {
 			t.Errorf("owed %d: got %+v, want %+v", i, g, w)
 		}
-		if m := g.Message; m.Class != "stock" || m.Dest != 7 || m.Tenant != "till" || m.Key != "k-"+m.ID || string(m.Body) != "bbb" ||
+		if m := g.Message; m.Class != "stock" || m.Dest != 7 || m.Tenant != "till" || m.IdempotencyKey != "k-"+m.ID || string(m.Body) != "bbb" ||
 			!m.Deadline.Equal(w.Message.Deadline) {
 			t.Errorf("message %s came back as %+v", m.ID, m)
 		}
 	}
 	notices := l.Notices()
-	if len(notices) != 2 || notices[0] != (Notice{ID: "bounced", Wait: 1500 * time.Millisecond}) ||
+	if len(notices) != 2 || notices[0] != (Notice{ID: "bounced", RetryAfter: 1500 * time.Millisecond}) ||
 		notices[1] != (Notice{ID: "dead", Dead: true}) {
 		t.Errorf("notices: %+v", notices)
 	}
@@ -110,8 +110,8 @@
 func TestTornTail(t *testing.T) {
 	dir := t.TempDir()
 	l := open(t, dir, testLimit)
-	must(t, l.Take(msg("a", 40)))
-	must(t, l.Take(msg("b", 40)))
+	must(t, l.RecordAccepted(msg("a", 40)))
+	must(t, l.RecordAccepted(msg("b", 40)))
 	path := l.segments[len(l.segments)-1].path
 	whole, err := os.ReadFile(path)
 	must(t, err)
@@ -121,19 +121,19 @@
 		must(t, os.WriteFile(filepath.Join(torn, filepath.Base(path)), whole[:n], 0o600))
 		l := open(t, torn, testLimit)
 		want := n / first
-		if got := len(l.Owed()); got != want {
+		if got := len(l.Pending()); got != want {
 			t.Errorf("cut at %d of %d: %d owed, want %d", n, len(whole), got, want)
 		}
 		broken := 0
 		if n%first != 0 {
 			broken = 1
 		}
-		if l.Stats().Broken != broken {
-			t.Errorf("cut at %d: %d broken, want %d", n, l.Stats().Broken, broken)
+		if l.Stats().BrokenRecords != broken {
+			t.Errorf("cut at %d: %d broken, want %d", n, l.Stats().BrokenRecords, broken)
 		}
-		must(t, l.Take(msg("c", 1)))
+		must(t, l.RecordAccepted(msg("c", 1)))
 		must(t, l.Close())
-		if got := len(open(t, torn, testLimit).Owed()); got != want+1 {
+		if got := len(open(t, torn, testLimit).Pending()); got != want+1 {
 			t.Errorf("cut at %d, then written to: %d owed, want %d", n, got, want+1)
 		}
 	}
@@ -144,7 +144,7 @@
 	dir := t.TempDir()
 	l := open(t, dir, testLimit)
 	for _, id := range []string{"a", "b", "c"} {
-		must(t, l.Take(msg(id, 40)))
+		must(t, l.RecordAccepted(msg(id, 40)))
 	}
 	path := l.segments[len(l.segments)-1].path
 	whole, err := os.ReadFile(path)
@@ -156,9 +156,9 @@
 		broken := t.TempDir()
 		must(t, os.WriteFile(filepath.Join(broken, filepath.Base(path)), bad, 0o600))
 		l := open(t, broken, testLimit)
-		owed := l.Owed()
-		if len(owed) != 2 || owed[0].Message.ID != "a" || owed[1].Message.ID != "c" || l.Stats().Broken != 1 {
-			t.Errorf("byte %d broken: %d owed, %d counted", n, len(owed), l.Stats().Broken)
+		owed := l.Pending()
+		if len(owed) != 2 || owed[0].Message.ID != "a" || owed[1].Message.ID != "c" || l.Stats().BrokenRecords != 1 {
+			t.Errorf("byte %d broken: %d owed, %d counted", n, len(owed), l.Stats().BrokenRecords)
 		}
 	}
 }
@@ -184,7 +184,7 @@
 	for i := range 6000 {
 		switch id := fmt.Sprintf("m%d", i); {
 		case rng.IntN(3) > 0:
-			err := l.Take(msg(id, rng.IntN(9000)))
+			err := l.RecordAccepted(msg(id, rng.IntN(9000)))
 			if errors.Is(err, ErrFull) {
 				full++
 				break
@@ -194,8 +194,8 @@
 			order = append(order, id)
 		case len(order) > 0 && rng.IntN(2) == 0:
 			k := rng.IntN(len(order))
-			must(t, l.Call([]string{order[k]}, []int{live[order[k]]}, "s-1", noon))
-			must(t, l.Outcome(order[k], live[order[k]], false, false))
+			must(t, l.RecordCall([]string{order[k]}, []int{live[order[k]]}, "s-1", noon))
+			must(t, l.RecordOutcome(order[k], live[order[k]], false, false))
 			live[order[k]]++
 		}
 		for len(order) > 400 || len(order) > 0 && rng.IntN(4) == 0 {
@@ -204,20 +204,20 @@
 			order = append(order[:k], order[k+1:]...)
 			delete(live, id)
 			if rng.IntN(2) == 0 {
-				must(t, l.Tell(Notice{ID: id, Dead: true}))
+				must(t, l.RecordNotice(Notice{ID: id, Dead: true}))
 			}
-			must(t, l.End(id))
+			must(t, l.RecordEnd(id))
 		}
 	}
 	if full == 0 || copied == 0 {
 		t.Errorf("full %d times, %d records copied: the test shows nothing", full, copied)
 	}
-	owed := open(t, dir, limit).Owed()
+	owed := open(t, dir, limit).Pending()
 	if len(owed) != len(live) {
 		t.Fatalf("%d owed after all, want %d", len(owed), len(live))
 	}
 	for _, o := range owed {
-		if n, known := live[o.Message.ID]; !known || n != o.Attempts || o.MayRun {
+		if n, known := live[o.Message.ID]; !known || n != o.Attempts || o.MayHaveRun {
 			t.Errorf("owed: %+v, want %d attempts", o, n)
 		}
 	}
@@ -230,20 +230,20 @@
 	n := 0
 	var err error
 	for ; err == nil; n++ {
-		err = l.Take(msg(fmt.Sprint("m", n), 60<<10))
+		err = l.RecordAccepted(msg(fmt.Sprint("m", n), 60<<10))
 	}
 	if !errors.Is(err, ErrFull) || n < 3 {
 		t.Fatalf("after %d messages: %v, want ErrFull", n, err)
 	}
-	if got := len(l.Owed()); got != n-1 {
+	if got := len(l.Pending()); got != n-1 {
 		t.Errorf("%d owed, want %d: the refused one must leave nothing", got, n-1)
 	}
 	for i := range n - 1 {
-		must(t, l.Call([]string{fmt.Sprint("m", i)}, []int{0}, "s-1", noon))
-		must(t, l.Tell(Notice{ID: fmt.Sprint("m", i), Dead: true}))
-		must(t, l.End(fmt.Sprint("m", i)))
+		must(t, l.RecordCall([]string{fmt.Sprint("m", i)}, []int{0}, "s-1", noon))
+		must(t, l.RecordNotice(Notice{ID: fmt.Sprint("m", i), Dead: true}))
+		must(t, l.RecordEnd(fmt.Sprint("m", i)))
 	}
-	must(t, l.Take(msg("after", 60<<10)))
+	must(t, l.RecordAccepted(msg("after", 60<<10)))
 }
 
 // Calls and outcomes of what is held always find room, however many come after the folder refuses new messages.
@@ -252,18 +252,18 @@
 	dir := t.TempDir()
 	l := open(t, dir, limit)
 	n := 0
-	for l.Take(msg(fmt.Sprint("m", n), 2000)) == nil {
+	for l.RecordAccepted(msg(fmt.Sprint("m", n), 2000)) == nil {
 		n++
 	}
 	for i := range 30000 {
 		id := fmt.Sprint("m", i%n)
-		must(t, l.Call([]string{id}, []int{i / n}, "s-1", noon))
-		must(t, l.Outcome(id, i/n, false, false))
+		must(t, l.RecordCall([]string{id}, []int{i / n}, "s-1", noon))
+		must(t, l.RecordOutcome(id, i/n, false, false))
 	}
 	if real := onDisk(t, dir); real > limit {
 		t.Errorf("%d bytes, bound %d", real, limit)
 	}
-	if got := len(open(t, dir, limit).Owed()); got != n {
+	if got := len(open(t, dir, limit).Pending()); got != n {
 		t.Errorf("%d owed, want %d", got, n)
 	}
 }
@@ -275,20 +275,20 @@
 	l := open(t, dir, limit)
 	blocked := filepath.Join(dir, fmt.Sprintf("%08d.seg", l.segments[len(l.segments)-1].num+1))
 	must(t, os.Mkdir(blocked, 0o700))
-	must(t, l.Take(msg("a", 10)))
+	must(t, l.RecordAccepted(msg("a", 10)))
 	for i := range 5000 {
-		must(t, l.Call([]string{"a"}, []int{i}, "s-1", noon))
-		must(t, l.Outcome("a", i, false, false))
+		must(t, l.RecordCall([]string{"a"}, []int{i}, "s-1", noon))
+		must(t, l.RecordOutcome("a", i, false, false))
 	}
 	if cur := l.segments[len(l.segments)-1]; !l.stuck || cur.size <= l.segMax {
 		t.Errorf("stuck %v with %d bytes: the test shows nothing", l.stuck, cur.size)
 	}
 	must(t, os.Remove(blocked))
-	must(t, l.Take(msg("b", 10)))
+	must(t, l.RecordAccepted(msg("b", 10)))
 	if cur := l.segments[len(l.segments)-1]; l.stuck || cur.size > l.segMax {
 		t.Errorf("afterwards: stuck %v, %d bytes in the newest segment", l.stuck, cur.size)
 	}
-	if got := len(open(t, dir, limit).Owed()); got != 2 {
+	if got := len(open(t, dir, limit).Pending()); got != 2 {
 		t.Errorf("%d owed, want 2", got)
 	}
 }
@@ -299,7 +299,7 @@
 	other := filepath.Join(dir, "notes.txt")
 	must(t, os.WriteFile(other, make([]byte, 1<<20), 0o600))
 	l := open(t, dir, 1<<20)
-	if err := l.Take(msg("a", 1)); !errors.Is(err, ErrFull) {
+	if err := l.RecordAccepted(msg("a", 1)); !errors.Is(err, ErrFull) {
 		t.Errorf("got %v, want ErrFull", err)
 	}
 	if _, err := os.Stat(other); err != nil {
@@ -317,17 +317,17 @@
 func TestKilledBetweenCopyAndRemoval(t *testing.T) {
 	dir := t.TempDir()
 	l := open(t, dir, testLimit)
-	must(t, l.Take(msg("a", 10)))
-	must(t, l.Call([]string{"a"}, []int{0}, "s-1", noon))
-	must(t, l.Outcome("a", 0, false, false))
-	must(t, l.Take(msg("b", 10)))
+	must(t, l.RecordAccepted(msg("a", 10)))
+	must(t, l.RecordCall([]string{"a"}, []int{0}, "s-1", noon))
+	must(t, l.RecordOutcome("a", 0, false, false))
+	must(t, l.RecordAccepted(msg("b", 10)))
 	must(t, l.rotate())
 	for _, e := range l.homeAt(l.segments[len(l.segments)-2]) {
 		must(t, l.write(e.record()))
 	}
-	must(t, l.End("b"))
-	owed := open(t, dir, testLimit).Owed()
-	if len(owed) != 1 || owed[0].Message.ID != "a" || owed[0].Attempts != 1 || owed[0].MayRun {
+	must(t, l.RecordEnd("b"))
+	owed := open(t, dir, testLimit).Pending()
+	if len(owed) != 1 || owed[0].Message.ID != "a" || owed[0].Attempts != 1 || owed[0].MayHaveRun {
 		t.Errorf("owed: %+v", owed)
 	}
 }
@@ -341,7 +341,7 @@
 		dir := t.TempDir()
 		must(t, os.WriteFile(filepath.Join(dir, "00000001.seg"), text, 0o600))
 		l := open(t, dir, testLimit)
-		l.Owed()
+		l.Pending()
 		l.Notices()
 		if got := decodeWhole(text); got > len(text) {
 			t.Fatalf("%d records in %d bytes", got, len(text))
@@ -363,17 +363,17 @@
 	dir := t.TempDir()
 	l := open(t, dir, testLimit)
 	for _, id := range []string{"full", "refused", "ran", "out"} {
-		must(t, l.Take(msg(id, 10)))
-		must(t, l.Call([]string{id}, []int{0}, "s-1", noon))
+		must(t, l.RecordAccepted(msg(id, 10)))
+		must(t, l.RecordCall([]string{id}, []int{0}, "s-1", noon))
 	}
-	must(t, l.Outcome("full", 0, false, false))
-	must(t, l.Outcome("refused", 0, false, true))
-	must(t, l.Outcome("ran", 0, true, true))
+	must(t, l.RecordOutcome("full", 0, false, false))
+	must(t, l.RecordOutcome("refused", 0, false, true))
+	must(t, l.RecordOutcome("ran", 0, true, true))
 	must(t, l.Close())
-	want := map[string]Owed{"full": {}, "refused": {Failed: 1}, "ran": {Failed: 1, MayRun: true}, "out": {MayRun: true}}
-	for _, o := range open(t, dir, testLimit).Owed() {
-		if w := want[o.Message.ID]; o.Failed != w.Failed || o.MayRun != w.MayRun || o.Attempts != 1 {
-			t.Errorf("%s: %+v, want failed %d, may have run %v", o.Message.ID, o, w.Failed, w.MayRun)
+	want := map[string]PendingMessage{"full": {}, "refused": {FailedAttempts: 1}, "ran": {FailedAttempts: 1, MayHaveRun: true}, "out": {MayHaveRun: true}}
+	for _, o := range open(t, dir, testLimit).Pending() {
+		if w := want[o.Message.ID]; o.FailedAttempts != w.FailedAttempts || o.MayHaveRun != w.MayHaveRun || o.Attempts != 1 {
+			t.Errorf("%s: %+v, want failed %d, may have run %v", o.Message.ID, o, w.FailedAttempts, w.MayHaveRun)
 		}
 		delete(want, o.Message.ID)
 	}
@@ -387,49 +387,49 @@
 func TestRoomForTheList(t *testing.T) {
 	dir := t.TempDir()
 	must(t, os.WriteFile(filepath.Join(dir, ListFile), make([]byte, 100_000), 0o600))
-	must(t, os.WriteFile(filepath.Join(dir, ListAside), make([]byte, 50_000), 0o600))
+	must(t, os.WriteFile(filepath.Join(dir, ListTempFile), make([]byte, 50_000), 0o600))
 	l := open(t, dir, testLimit)
 	if l.foreign != 0 || l.aside < 150_000 {
 		t.Errorf("%d bytes are foreign, %d the list's", l.foreign, l.aside)
 	}
 	used := l.used()
-	if !l.SetAside(10_000) || l.used() >= used {
+	if !l.ReserveListSpace(10_000) || l.used() >= used {
 		t.Error("a smaller list frees no room")
 	}
-	if l.SetAside(testLimit/4) || !l.SetAside(testLimit/4-4*block) {
+	if l.ReserveListSpace(testLimit/4) || !l.ReserveListSpace(testLimit/4-4*block) {
 		t.Error("the most that is granted is not a quarter")
 	}
-	if !l.SetAside(0) {
+	if !l.ReserveListSpace(0) {
 		t.Error("no room for nothing")
 	}
 	for i := 0; ; i++ { // messages fill the folder up to the reserve
-		if err := l.Take(msg(fmt.Sprint("m", i), 1000)); errors.Is(err, ErrFull) {
+		if err := l.RecordAccepted(msg(fmt.Sprint("m", i), 1000)); errors.Is(err, ErrFull) {
 			break
 		} else if err != nil {
 			t.Fatal(err)
 		}
 	}
-	if l.SetAside(100_000) {
+	if l.ReserveListSpace(100_000) {
 		t.Error("room is granted out of what is kept for calls and ends")
 	}
-	if !l.SetAside(0) || l.used() > l.limit {
+	if !l.ReserveListSpace(0) || l.used() > l.limit {
 		t.Errorf("%d bytes used of %d", l.used(), l.limit)
 	}
 
 	// With all the room granted, the folder stays within its bound whatever is recorded.
 	dir = t.TempDir()
 	l = open(t, dir, testLimit)
-	if !l.SetAside(testLimit / 5) {
+	if !l.ReserveListSpace(testLimit / 5) {
 		t.Fatal("no room")
 	}
 	must(t, os.WriteFile(filepath.Join(dir, ListFile), make([]byte, testLimit/5), 0o600))
 	for i := range 20_000 {
 		id := fmt.Sprint("m", i)
-		if err := l.Take(msg(id, 300)); err != nil && !errors.Is(err, ErrFull) {
+		if err := l.RecordAccepted(msg(id, 300)); err != nil && !errors.Is(err, ErrFull) {
 			t.Fatal(err)
 		}
 		if i%3 > 0 {
-			must(t, l.End(fmt.Sprint("m", i-1)))
+			must(t, l.RecordEnd(fmt.Sprint("m", i-1)))
 		}
 		if i%500 == 0 {
 			if size := onDisk(t, dir); size > testLimit {
@@ -443,15 +443,15 @@
 func TestOutagesAreKept(t *testing.T) {
 	dir := t.TempDir()
 	l := open(t, dir, testLimit)
-	must(t, l.Outage(Outage{Host: "s-1", At: noon, Rate: 1.25}))
-	must(t, l.Outage(Outage{Host: "s-2", At: noon.Add(time.Second)}))
-	must(t, l.Outage(Outage{Host: "s-3", At: noon.Add(2 * time.Second), Rate: 0.001}))
-	must(t, l.OutageOver("s-2"))
-	must(t, l.OutageOver("never out"))
+	must(t, l.RecordOutage(Outage{Host: "s-1", At: noon, Rate: 1.25}))
+	must(t, l.RecordOutage(Outage{Host: "s-2", At: noon.Add(time.Second)}))
+	must(t, l.RecordOutage(Outage{Host: "s-3", At: noon.Add(2 * time.Second), Rate: 0.001}))
+	must(t, l.RecordOutageEnd("s-2"))
+	must(t, l.RecordOutageEnd("never out"))
 	for i := range 4000 { // some hundred segments' worth
 		id := fmt.Sprint("m", i)
-		must(t, l.Take(msg(id, 500)))
-		must(t, l.End(id))
+		must(t, l.RecordAccepted(msg(id, 500)))
+		must(t, l.RecordEnd(id))
 	}
 	want := []Outage{{"s-1", noon, 1.25}, {"s-3", noon.Add(2 * time.Second), 0.001}}
 	for _, when := range []string{"while it is open", "after it was opened again"} {
@@ -459,13 +459,13 @@
 		if len(got) != 2 || !got[0].At.Equal(want[0].At) || got[0].Host != "s-1" || got[0].Rate != 1.25 || got[1].Host != "s-3" || got[1].Rate != 0.001 {
 			t.Errorf("%s: %+v, want %+v", when, got, want)
 		}
-		if owed, notices := l.Owed(), l.Notices(); len(owed)+len(notices) > 0 {
+		if owed, notices := l.Pending(), l.Notices(); len(owed)+len(notices) > 0 {
 			t.Errorf("%s: owed %v, notices %v", when, owed, notices)
 		}
 		must(t, l.Close())
 		l = open(t, dir, testLimit)
 	}
-	if stats := l.Stats(); stats.Broken > 0 {
+	if stats := l.Stats(); stats.BrokenRecords > 0 {
 		t.Errorf("%+v", stats)
 	}
 }
@@ -474,7 +474,7 @@
 func TestOutagesGiveWayToMessages(t *testing.T) {
 	l := open(t, t.TempDir(), testLimit)
 	for i := 0; ; i++ {
-		if err := l.Take(msg(fmt.Sprint("m", i), 4000)); errors.Is(err, ErrFull) {
+		if err := l.RecordAccepted(msg(fmt.Sprint("m", i), 4000)); errors.Is(err, ErrFull) {
 			break
 		} else if err != nil {
 			t.Fatal(err)
@@ -482,10 +482,10 @@
 	}
 	var err error
 	for i := 0; i < 100 && err == nil; i++ {
-		err = l.Outage(Outage{Host: fmt.Sprint("s-", i), At: noon})
+		err = l.RecordOutage(Outage{Host: fmt.Sprint("s-", i), At: noon})
 	}
 	if !errors.Is(err, ErrFull) {
 		t.Errorf("%v, want a full folder", err)
 	}
-	must(t, l.Call([]string{"m0"}, []int{0}, "s-1", noon))
+	must(t, l.RecordCall([]string{"m0"}, []int{0}, "s-1", noon))
 }
--- a/internal/ledger/record.go
+++ b/internal/ledger/record.go
@@ -67,7 +67,7 @@
 		buf = binary.AppendUvarint(buf, r.seq)
 		buf = appendText(buf, r.msg.Class)
 		buf = appendText(buf, r.msg.Tenant)
-		buf = appendText(buf, r.msg.Key)
+		buf = appendText(buf, r.msg.IdempotencyKey)
 		buf = binary.AppendVarint(buf, int64(r.msg.Dest))
 		buf = binary.AppendVarint(buf, r.msg.Deadline.UnixMilli())
 		buf = binary.AppendUvarint(buf, uint64(r.attempts))
@@ -265,7 +265,7 @@
 	switch r.kind {
 	case kindKeep:
 		r.id, r.seq = c.string(), c.uint()
-		r.msg = &message.Message{ID: r.id, Class: c.string(), Tenant: c.string(), Key: c.string(), Dest: int(c.int()),
+		r.msg = &message.Message{ID: r.id, Class: c.string(), Tenant: c.string(), IdempotencyKey: c.string(), Dest: int(c.int()),
 			Deadline: time.UnixMilli(c.int())}
 		r.attempts = int(c.uint())
 		if r.mayRun = c.bool(); r.mayRun {
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -6,11 +6,11 @@
 
 // Message is one notification that a client handed in.
 type Message struct {
-	ID       string
-	Class    string // by the name that the settings give it
-	Dest     int
-	Tenant   string    // who hands it in, "" where that is not told
-	Key      string    // by which destinations drop repeats, "" for none
-	Deadline time.Time // when it may no longer be delivered
-	Body     []byte
+	ID             string
+	Class          string // by the name that the settings give it
+	Dest           int
+	Tenant         string    // who hands it in, "" where that is not told
+	IdempotencyKey string    // by which destinations drop repeats, "" for none
+	Deadline       time.Time // when it may no longer be delivered
+	Body           []byte
 }
--- a/internal/outbound/call.go
+++ b/internal/outbound/call.go
@@ -23,13 +23,13 @@
 
 // appendCall encodes a call.
 func appendCall(buf []byte, call *exchange.Call) []byte {
-	fields := http1.Header{{Name: "Host", Value: call.To.Dial},
-		{Name: "Req-Deadline-Ms", Value: strconv.FormatInt(max(1, call.Waiting.Milliseconds()), 10)}}
+	fields := http1.Header{{Name: "Host", Value: call.To.Addr},
+		{Name: "Req-Deadline-Ms", Value: strconv.FormatInt(max(1, call.Timeout.Milliseconds()), 10)}}
 	if len(call.Items) == 1 {
 		m := call.Items[0]
 		fields = append(fields, http1.Field{Name: "Req-Id", Value: m.ID})
-		if m.Key != "" {
-			fields = append(fields, http1.Field{Name: "Idempotency-Key", Value: m.Key})
+		if m.IdempotencyKey != "" {
+			fields = append(fields, http1.Field{Name: "Idempotency-Key", Value: m.IdempotencyKey})
 		}
 		return http1.AppendRequest(buf, "POST", "/receive", fields, m.Body)
 	}
@@ -43,7 +43,7 @@
 	for _, m := range list {
 		body = append(body, m.ID...)
 		body = append(body, ' ')
-		body = append(body, cmp.Or(m.Key, "-")...)
+		body = append(body, cmp.Or(m.IdempotencyKey, "-")...)
 		body = append(body, ' ')
 		body = strconv.AppendInt(body, int64(len(m.Body)), 10)
 		body = append(body, "\r\n"...)
@@ -76,7 +76,7 @@
 	if resp == nil {
 		return same(call, exchange.ItemResult{Outcome: lost})
 	}
-	r := exchange.ItemResult{Outcome: lost, Wait: told(resp.Header)}
+	r := exchange.ItemResult{Outcome: lost, RetryAfter: told(resp.Header)}
 	if err != nil {
 		if single && resp.Status == 200 {
 			r.Outcome = rules.OK
@@ -95,16 +95,16 @@
 	case 503:
 		switch {
 		case resp.Header.Get("Slots-Taken") == "1":
-			r.Outcome, r.NoSlot = rules.NotSent, true
+			r.Outcome, r.NoFreeSlot = rules.NotSent, true
 		case fresh && resp.Close:
-			r.Outcome, r.NoPlace = rules.ConnectError, true
+			r.Outcome, r.ConnectionLimitReached = rules.ConnectError, true
 		default:
 			r.Outcome = rules.Refused
 		}
 	case 504:
 		r.Outcome = rules.NotSent
 	case 410:
-		r.Outcome, r.Over = rules.NotSent, true
+		r.Outcome, r.Finished = rules.NotSent, true
 	default:
 		r.Outcome = rules.Errored
 		if !single && (resp.Status == 400 || resp.Status == 413) {
@@ -124,7 +124,7 @@
 	case "deferred":
 		return exchange.ItemResult{Outcome: rules.Refused}, true
 	case "expired":
-		return exchange.ItemResult{Outcome: rules.NotSent, Over: true}, true
+		return exchange.ItemResult{Outcome: rules.NotSent, Finished: true}, true
 	case "no_more":
 		return exchange.ItemResult{Outcome: rules.NotSent}, true
 	}
@@ -150,7 +150,7 @@
 		if !known {
 			return same(call, lost)
 		}
-		out[i].Outcome, out[i].Over = r.Outcome, r.Over
+		out[i].Outcome, out[i].Finished = r.Outcome, r.Finished
 	}
 	if len(told) != len(call.Items) {
 		return same(call, lost)
--- a/internal/outbound/outbound.go
+++ b/internal/outbound/outbound.go
@@ -129,7 +129,7 @@
 func (j *job) commit() bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.late = !j.call.LeaveBy.IsZero() && time.Now().After(j.call.LeaveBy)
+	j.late = !j.call.WriteBy.IsZero() && time.Now().After(j.call.WriteBy)
 	j.out = !j.given && !j.late
 	return j.out
 }
@@ -271,7 +271,7 @@
 		cancel()
 	}
 	begun := time.Now()
-	nc, err := p.dial(ctx, "tcp", j.call.To.Dial)
+	nc, err := p.dial(ctx, "tcp", j.call.To.Addr)
 	if err != nil {
 		p.finish(j, rules.ConnectError)
 		return nil
--- a/internal/outbound/outbound_test.go
+++ b/internal/outbound/outbound_test.go
@@ -47,10 +47,10 @@
 }
 
 // peer is the endpoint that stands at an address.
-func peer(addr string) exchange.Peer { return exchange.Peer{Name: "s", Dial: addr} }
+func peer(addr string) exchange.Peer { return exchange.Peer{Name: "s", Addr: addr} }
 
 func callTo(addr string, ids ...string) *exchange.Call {
-	c := &exchange.Call{To: peer(addr), Waiting: 1500 * time.Millisecond}
+	c := &exchange.Call{To: peer(addr), Timeout: 1500 * time.Millisecond}
 	for _, id := range ids {
 		c.Items = append(c.Items, &message.Message{ID: id, Body: []byte("body of " + id + "\r\n\x00")})
 	}
@@ -86,12 +86,12 @@
 	}{
 		"delivered":       {&http1.Response{Status: 200, Body: []byte("whatever")}, exchange.ItemResult{Outcome: rules.OK}},
 		"error":           {&http1.Response{Status: 500}, exchange.ItemResult{Outcome: rules.Errored}},
-		"wait":            {&http1.Response{Status: 429, Header: field("Wait-Ms", "250")}, exchange.ItemResult{Outcome: rules.Refused, Wait: 250 * time.Millisecond}},
+		"wait":            {&http1.Response{Status: 429, Header: field("Wait-Ms", "250")}, exchange.ItemResult{Outcome: rules.Refused, RetryAfter: 250 * time.Millisecond}},
 		"no wait told":    {&http1.Response{Status: 429}, exchange.ItemResult{Outcome: rules.Refused}},
 		"turned away":     {&http1.Response{Status: 503}, exchange.ItemResult{Outcome: rules.Refused}},
-		"slots taken":     {&http1.Response{Status: 503, Header: field("slots-taken", "1")}, exchange.ItemResult{Outcome: rules.NotSent, NoSlot: true}},
+		"slots taken":     {&http1.Response{Status: 503, Header: field("slots-taken", "1")}, exchange.ItemResult{Outcome: rules.NotSent, NoFreeSlot: true}},
 		"attempts used":   {&http1.Response{Status: 504}, exchange.ItemResult{Outcome: rules.NotSent}},
-		"message over":    {&http1.Response{Status: 410}, exchange.ItemResult{Outcome: rules.NotSent, Over: true}},
+		"message over":    {&http1.Response{Status: 410}, exchange.ItemResult{Outcome: rules.NotSent, Finished: true}},
 		"something else":  {&http1.Response{Status: 404}, exchange.ItemResult{Outcome: rules.Errored}},
 		"report":          {&http1.Response{Status: 200, Header: field("Srv-Load", `{"x0":0.4,"x1":25}`)}, exchange.ItemResult{Outcome: rules.OK, Report: rules.Report{Remaining: 0.4, Limit: 25}}},
 		"negative report": {&http1.Response{Status: 200, Header: field("Srv-Load", `{"x0":0.4,"x1":-25}`)}, exchange.ItemResult{Outcome: rules.OK}},
@@ -148,8 +148,8 @@
 			}
 		}
 		for i, r := range got.Items {
-			if r.Outcome != c.want || r.NoPlace != (c.want == rules.ConnectError) {
-				t.Errorf("%s, message %d: outcome %v, no place %v, want %v", name, i, r.Outcome, r.NoPlace, c.want)
+			if r.Outcome != c.want || r.ConnectionLimitReached != (c.want == rules.ConnectError) {
+				t.Errorf("%s, message %d: outcome %v, no place %v, want %v", name, i, r.Outcome, r.ConnectionLimitReached, c.want)
 			}
 		}
 	}
@@ -174,12 +174,12 @@
 	if text := string(appendCall(nil, call)); strings.Contains(text, "Idempotency-Key") {
 		t.Errorf("a message without a key: %q", text)
 	}
-	call.Items[0].Key = "k1"
+	call.Items[0].IdempotencyKey = "k1"
 	if text := string(appendCall(nil, call)); !strings.Contains(text, "\r\nIdempotency-Key: k1\r\n") {
 		t.Errorf("a message with a key: %q", text)
 	}
 	call = callTo("x", "a", "b")
-	call.Items[1].Key = "k2"
+	call.Items[1].IdempotencyKey = "k2"
 	text := string(appendCall(nil, call))
 	if !strings.Contains(text, "\r\na - 12\r\n") || !strings.Contains(text, "\r\nb k2 12\r\n") {
 		t.Errorf("several messages: %q", text)
@@ -236,7 +236,7 @@
 		s.Start(callTo(srv.Addr(), "a", "b", "c", "d", "e", "f"))
 		d := testkit.Next(t, s.done, "result")
 		for i, want := range c.want {
-			if d.Items[i].Outcome != want || d.Items[i].Wait != 70*time.Millisecond || d.Items[i].Over != (name == "each its own" && i == 3) {
+			if d.Items[i].Outcome != want || d.Items[i].RetryAfter != 70*time.Millisecond || d.Items[i].Finished != (name == "each its own" && i == 3) {
 				t.Errorf("%s, message %d: got %+v, want outcome %v", name, i, d.Items[i], want)
 			}
 		}
@@ -341,7 +341,7 @@
 			for _, ids := range [][]string{{"a"}, {"a", "b"}} {
 				s.Start(callTo(srv.Addr(), ids...))
 				d := testkit.Next(t, s.done, "result")
-				want := exchange.ItemResult{Outcome: rules.Reset, Wait: c.wait}
+				want := exchange.ItemResult{Outcome: rules.Reset, RetryAfter: c.wait}
 				if len(ids) == 1 {
 					want.Outcome = c.one
 				}
@@ -389,7 +389,7 @@
 	}()
 	c := &conn{nc: answerWins{near}, br: bufio.NewReader(near)}
 	s.do(c, j)
-	want := exchange.ItemResult{Outcome: rules.Refused, Wait: 700 * time.Millisecond}
+	want := exchange.ItemResult{Outcome: rules.Refused, RetryAfter: 700 * time.Millisecond}
 	if d := testkit.Next(t, s.done, "result"); d.Items[0] != want {
 		t.Errorf("got %+v, want %+v", d.Items[0], want)
 	}
@@ -629,7 +629,7 @@
 func TestNewEndpointAtAnOldAddress(t *testing.T) {
 	srv := listen(t, ok)
 	s := newSide(t, nil)
-	old, fresh := exchange.Peer{Name: "old", Dial: srv.Addr()}, exchange.Peer{Name: "new", Dial: srv.Addr()}
+	old, fresh := exchange.Peer{Name: "old", Addr: srv.Addr()}, exchange.Peer{Name: "new", Addr: srv.Addr()}
 	idle := func(to exchange.Peer) int {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -843,7 +843,7 @@
 		}
 		if c.late {
 			s.moment = 100 * time.Millisecond
-			call.LeaveBy, want = time.Now().Add(50*time.Millisecond), exchange.ItemResult{Outcome: rules.NotSent, Recalled: true}
+			call.WriteBy, want = time.Now().Add(50*time.Millisecond), exchange.ItemResult{Outcome: rules.NotSent, Recalled: true}
 		}
 		h := s.Start(call)
 		testkit.Next(t, begun, "connect")
@@ -852,7 +852,7 @@
 			testkit.Eventually(t, "connected", func() bool { j := h.(*job); j.mu.Lock(); defer j.mu.Unlock(); return j.nc != nil })
 		}
 		if c.late {
-			testkit.Eventually(t, "too late", func() bool { return time.Now().After(call.LeaveBy) })
+			testkit.Eventually(t, "too late", func() bool { return time.Now().After(call.WriteBy) })
 		} else if !h.Recall() {
 			t.Errorf("%s: not called back", name)
 		}
@@ -881,7 +881,7 @@
 			resp, err := http1.ReadResponse(bufio.NewReader(bytes.NewReader(text)), maxAnswer)
 			for _, r := range append(outcomes(call, resp, err, rules.Reset, false), outcomes(call, resp, err, rules.Reset, true)...) {
 				delivered := r.Outcome == rules.OK && resp != nil && resp.Status == 200
-				if err != nil && (r.Outcome != rules.Reset && !(delivered && len(call.Items) == 1) || r.Over || r.NoSlot || r.NoPlace) {
+				if err != nil && (r.Outcome != rules.Reset && !(delivered && len(call.Items) == 1) || r.Finished || r.NoFreeSlot || r.ConnectionLimitReached) {
 					t.Fatalf("spoilt (%v): %+v", err, r)
 				}
 				if r.Outcome == rules.OK && !delivered {
@@ -904,7 +904,7 @@
 				t.Fatalf("%d results for %d messages", len(got), len(call.Items))
 			}
 			for _, r := range got {
-				if r.Wait < 0 || r.Outcome == rules.OK && status != 200 {
+				if r.RetryAfter < 0 || r.Outcome == rules.OK && status != 200 {
 					t.Fatalf("status %d: %+v", status, r)
 				}
 			}
--- a/internal/registry/list.go
+++ b/internal/registry/list.go
@@ -55,7 +55,7 @@
 
 // host is the entry in the exchange's terms.
 func (e *listed) host(names *settings.Names) (exchange.Host, error) {
-	h := exchange.Host{Peer: exchange.Peer{Name: e.Host, Dial: e.Dial}, Kind: e.Class.position(names.Kinds),
+	h := exchange.Host{Peer: exchange.Peer{Name: e.Host, Addr: e.Dial}, Kind: e.Class.position(names.Kinds),
 		Zone: e.Site.position(names.Zones), Rate: e.Share}
 	switch string(e.Health) {
 	case "Ready":
@@ -66,7 +66,7 @@
 	default:
 		return h, fmt.Errorf("unknown health %q", e.Health)
 	}
-	if h.Name == "" || !h.Gone && (e.Block == noBlock || !validAddr(h.Dial)) {
+	if h.Name == "" || !h.Gone && (e.Block == noBlock || !validAddr(h.Addr)) {
 		return h, errors.New("a name, a block or an address is missing")
 	}
 	if e.Block != noBlock {
@@ -251,7 +251,7 @@
 }
 
 // taken is how many bytes an endpoint takes.
-func taken(h exchange.Host) int64 { return int64(unsafe.Sizeof(h)) + int64(len(h.Name)+len(h.Dial)) }
+func taken(h exchange.Host) int64 { return int64(unsafe.Sizeof(h)) + int64(len(h.Name)+len(h.Addr)) }
 
 // add appends an entry. Room is made by what has come: up to four times of it, and no more than the told length lets expect.
 func (r *reading) add(h exchange.Host) {
--- a/internal/registry/list_test.go
+++ b/internal/registry/list_test.go
@@ -58,9 +58,9 @@
 	}
 	l.Whole = f.Whole
 	for _, e := range *f.Hosts {
-		h := exchange.Host{Peer: exchange.Peer{Name: e.Host, Dial: e.Dial}, Kind: word(e.Class).position(names.Kinds),
+		h := exchange.Host{Peer: exchange.Peer{Name: e.Host, Addr: e.Dial}, Kind: word(e.Class).position(names.Kinds),
 			Zone: word(e.Site).position(names.Zones), Rate: e.Share, Draining: e.Health == "Terminating", Gone: e.Health == "Gone"}
-		if e.Health != "Ready" && !h.Draining && !h.Gone || h.Name == "" || !h.Gone && (e.Block == nil || !validAddr(h.Dial)) {
+		if e.Health != "Ready" && !h.Draining && !h.Gone || h.Name == "" || !h.Gone && (e.Block == nil || !validAddr(h.Addr)) {
 			return 0, l, errors.New("a bad entry")
 		}
 		if e.Block != nil {
--- a/internal/registry/notices.go
+++ b/internal/registry/notices.go
@@ -43,7 +43,7 @@
 }
 
 // Tell queues a notice. It does not wait.
-func (n *Notices) Tell(one ledger.Notice) {
+func (n *Notices) EnqueueNotice(one ledger.Notice) {
 	n.mu.Lock()
 	n.queue = append(n.queue, one)
 	n.mu.Unlock()
@@ -110,7 +110,7 @@
 		for i, one := range list {
 			ids[i] = one.ID
 		}
-		sink.Noticed(ids)
+		sink.NoticesAccepted(ids)
 		n.mu.Lock()
 		n.sending = 0
 		n.mu.Unlock()
@@ -136,7 +136,7 @@
 			Ref    string `json:"ref"`
 			Result string `json:"result"`
 			Wait   int64  `json:"wait_ms,omitempty"`
-		}{one.ID, "bounced", one.Wait.Milliseconds()}
+		}{one.ID, "bounced", one.RetryAfter.Milliseconds()}
 		if one.Dead {
 			line.Result, line.Wait = "dead", 0
 		}
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -39,9 +39,9 @@
 
 // Sink takes what the registry tells.
 type Sink interface {
-	List(exchange.Listing)
+	ApplyListing(exchange.Listing)
 	ListFailed()
-	Noticed(ids []string)
+	NoticesAccepted(ids []string)
 }
 
 // Keeper keeps what is heard for the next process: a whole list of discovery's at an address, or a change that follows on a version; an
@@ -235,7 +235,7 @@
 	r.keep(at, building, seq, listing)
 	r.hold(at, seq, listing)
 	if news {
-		sink.List(listing)
+		sink.ApplyListing(listing)
 	}
 	if r.Lists.Add(1) == 1 {
 		close(r.heard)
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -40,9 +40,9 @@
 	return &sink{make(chan exchange.Listing, 100), make(chan struct{}, 100), make(chan []string, 100)}
 }
 
-func (s *sink) List(l exchange.Listing) { s.lists <- l }
-func (s *sink) ListFailed()             { s.failed <- struct{}{} }
-func (s *sink) Noticed(ids []string)    { s.noticed <- ids }
+func (s *sink) ApplyListing(l exchange.Listing) { s.lists <- l }
+func (s *sink) ListFailed()                     { s.failed <- struct{}{} }
+func (s *sink) NoticesAccepted(ids []string)    { s.noticed <- ids }
 
 // start runs f until the test ends.
 func start(t *testing.T, f func(context.Context)) {
@@ -65,10 +65,10 @@
 		t.Fatal(err)
 	}
 	want := []exchange.Host{
-		{Peer: exchange.Peer{Name: "a", Dial: "127.0.0.1:9000"}, Dest: 3, Kind: 1, Zone: 1, Rate: 2.5},
-		{Peer: exchange.Peer{Name: "b", Dial: "127.0.0.1:9000"}, Dest: 3, Kind: 1, Zone: 1, Rate: 2.5, Draining: true},
+		{Peer: exchange.Peer{Name: "a", Addr: "127.0.0.1:9000"}, Dest: 3, Kind: 1, Zone: 1, Rate: 2.5},
+		{Peer: exchange.Peer{Name: "b", Addr: "127.0.0.1:9000"}, Dest: 3, Kind: 1, Zone: 1, Rate: 2.5, Draining: true},
 		{Peer: exchange.Peer{Name: "c"}, Kind: 2, Zone: 2, Gone: true},
-		{Peer: exchange.Peer{Name: "d", Dial: "127.0.0.1:1"}, Kind: 2, Zone: 2},
+		{Peer: exchange.Peer{Name: "d", Addr: "127.0.0.1:1"}, Kind: 2, Zone: 2},
 	}
 	for _, text := range [][]byte{text, indented.Bytes()} {
 		seq, l, err := Parse(text, names)
@@ -109,7 +109,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		_, l, err := Parse(text, names)
 		for _, h := range l.Hosts {
-			if err == nil && (h.Name == "" || !h.Gone && h.Dial == "") {
+			if err == nil && (h.Name == "" || !h.Gone && h.Addr == "") {
 				t.Fatalf("accepted %+v", h)
 			}
 		}
@@ -228,8 +228,8 @@
 	}
 	defer srv.Close()
 	n, s := NewNotices(NewAddress(srv.Addr()), quiet), newSink()
-	n.Tell(ledger.Notice{ID: "a", Dead: true, Wait: time.Second})
-	n.Tell(ledger.Notice{ID: "b", Wait: 500 * time.Millisecond})
+	n.EnqueueNotice(ledger.Notice{ID: "a", Dead: true, RetryAfter: time.Second})
+	n.EnqueueNotice(ledger.Notice{ID: "b", RetryAfter: 500 * time.Millisecond})
 	start(t, func(ctx context.Context) { n.Run(ctx, s) })
 	want := `POST /status {"ref":"a","result":"dead"}` + "\n" + `{"ref":"b","result":"bounced","wait_ms":500}` + "\n"
 	for range 4 {
@@ -256,7 +256,7 @@
 	defer srv.Close()
 	n, s := NewNotices(NewAddress(srv.Addr()), quiet), newSink()
 	for _, id := range []string{"bad", "x", "y"} {
-		n.Tell(ledger.Notice{ID: id})
+		n.EnqueueNotice(ledger.Notice{ID: id})
 	}
 	start(t, func(ctx context.Context) { n.Run(ctx, s) })
 	for _, want := range []string{"x", "y"} {
@@ -320,7 +320,7 @@
 	defer d.Close()
 	where, s := NewAddress(old.Addr()), newSink()
 	n := NewNotices(where, quiet)
-	n.Tell(ledger.Notice{ID: "a"})
+	n.EnqueueNotice(ledger.Notice{ID: "a"})
 	start(t, func(ctx context.Context) { n.Run(ctx, s) })
 	testkit.Next(t, asked, "post to the old address")
 	where.Move(d.Addr())
@@ -349,7 +349,7 @@
 	defer srv.Close()
 	defer close(end)
 	n, s := NewNotices(NewAddress(srv.Addr()), quiet), newSink()
-	n.Tell(ledger.Notice{ID: "a"})
+	n.EnqueueNotice(ledger.Notice{ID: "a"})
 	start(t, func(ctx context.Context) { n.Run(ctx, s) })
 	testkit.Next(t, s.noticed, "word of acceptance")
 	if got := posts.Load(); got != 2 || firstLimit+firstPause >= 300*time.Millisecond {
@@ -365,7 +365,7 @@
 	}
 	defer slow.Close()
 	n, s = NewNotices(NewAddress(slow.Addr()), quiet), newSink()
-	n.Tell(ledger.Notice{ID: "b"})
+	n.EnqueueNotice(ledger.Notice{ID: "b"})
 	start(t, func(ctx context.Context) { n.Run(ctx, s) })
 	testkit.Next(t, s.noticed, "word of acceptance")
 }
--- a/internal/snapshot/form.go
+++ b/internal/snapshot/form.go
@@ -75,7 +75,7 @@
 		marks |= markRate
 	}
 	buf = appendText(append(buf, marks), h.Name)
-	buf = appendText(buf, h.Dial)
+	buf = appendText(buf, h.Addr)
 	buf = binary.AppendVarint(buf, int64(h.Dest))
 	buf = binary.AppendUvarint(buf, uint64(h.Kind))
 	buf = binary.AppendUvarint(buf, uint64(h.Zone))
@@ -182,7 +182,7 @@
 func (c *cursor) host() (h exchange.Host) {
 	marks := c.byte()
 	h.Draining, h.Gone = marks&markDraining != 0, marks&markGone != 0
-	h.Name, h.Dial, h.Dest, h.Kind, h.Zone = c.string(), c.string(), int(c.int()), int(c.uint()), int(c.uint())
+	h.Name, h.Addr, h.Dest, h.Kind, h.Zone = c.string(), c.string(), int(c.int()), int(c.uint()), int(c.uint())
 	if rate := []byte(c.cut(int(marks&markRate) / markRate * 8)); len(rate) == 8 {
 		h.Rate = math.Float64frombits(binary.BigEndian.Uint64(rate))
 	}
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -91,7 +91,7 @@
 // Open returns the list in a folder, or nil if there is none that is whole, and what keeps it up to date. The list is of use only where
 // the names of kinds and zones are the same. Room is asked for the bytes of all files here before any is written.
 func Open(dir string, kinds, zones []string, room func(bytes int64) bool, log *slog.Logger) (*Keeper, *State) {
-	k := &Keeper{path: filepath.Join(dir, ledger.ListFile), aside: filepath.Join(dir, ledger.ListAside), kinds: kinds, zones: zones, room: room,
+	k := &Keeper{path: filepath.Join(dir, ledger.ListFile), aside: filepath.Join(dir, ledger.ListTempFile), kinds: kinds, zones: zones, room: room,
 		log: log, more: make(chan struct{}, 1), open: func(path string, flag int) (file, error) { return os.OpenFile(path, flag, 0o600) }}
 	if err := os.Remove(k.aside); err != nil && !errors.Is(err, os.ErrNotExist) {
 		log.Warn("half a list of endpoints could not be removed", "err", err)
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -34,7 +34,7 @@
 func anyRoom(int64) bool { return true }
 
 func host(i int) exchange.Host {
-	return exchange.Host{Peer: exchange.Peer{Name: fmt.Sprintf("s-%08x", i), Dial: fmt.Sprintf("10.0.%d.%d:9000", i>>8&255, i&255)}, Dest: i - 3, Kind: i % 3, Zone: i % 2,
+	return exchange.Host{Peer: exchange.Peer{Name: fmt.Sprintf("s-%08x", i), Addr: fmt.Sprintf("10.0.%d.%d:9000", i>>8&255, i&255)}, Dest: i - 3, Kind: i % 3, Zone: i % 2,
 		Rate: float64(i%4) / 2, Draining: i%5 == 0}
 }
 
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -130,11 +130,11 @@
 	}
 }
 
-func (s hollowSink) List(l exchange.Listing) { s.post(func() { s.listed(l) }) }
+func (s hollowSink) ApplyListing(l exchange.Listing) { s.post(func() { s.listed(l) }) }
 func (s hollowSink) ListFailed() {
 	s.post(func() { s.events = append(s.events, rules.DiscoveryFailed{}) })
 }
-func (s hollowSink) Noticed([]string) {}
+func (s hollowSink) NoticesAccepted([]string) {}
 
 func (h *hollow) now() time.Duration { return hollowStart + time.Since(h.begun) }
 
@@ -160,7 +160,7 @@
 				h.fresh = append(h.fresh, n)
 			}
 		}
-		host := hollowHost{name: e.Name, dial: e.Dial, dest: e.Dest, closed: e.Draining || e.Gone}
+		host := hollowHost{name: e.Name, dial: e.Addr, dest: e.Dest, closed: e.Draining || e.Gone}
 		if e.Gone {
 			old := h.hosts[id]
 			host.dial, host.dest = old.dial, old.dest
