--- a/cmd/eiderhaven/service.go
+++ b/cmd/eiderhaven/service.go
@@ -103,7 +103,7 @@
 		Tenants: cfg.names.Tenants, InitialListing: known, Ledger: led, Caller: s.pool, Platform: platformSides{s.notices, s.registry.Watch}, Log: log})
 	cfg.known = exchange.Listing{} // the exchange's from here on, which lets go of it as soon as it can
 	s.intake = intake.New(intake.Config{Exchange: s.exchange, Ready: s.isReady, Classes: cfg.names.Classes,
-		MaxConns: clients, Slow: slowClient, Idle: idleClient, Log: log})
+		MaxConns: clients, RequestTimeout: slowClient, IdleTimeout: idleClient, Log: log})
 	return s, nil
 }
 
@@ -257,7 +257,7 @@
 				s.report()
 			}
 		case <-look.C:
-			if time.Since(begun) > lastOrders && s.intake.Open() == 0 && s.exchange.Counts().Held == 0 &&
+			if time.Since(begun) > lastOrders && s.intake.OpenConns() == 0 && s.exchange.Counts().Held == 0 &&
 				s.notices.Pending() == 0 {
 				return
 			}
@@ -287,8 +287,8 @@
 func (s *service) report() {
 	in := &s.intake.Counts
 	s.log.Info("counters", "exchange", s.exchange.Counts(),
-		slog.Group("intake", "requests", in.Requests.Load(), "health", in.Health.Load(),
-			"submitted", in.Submitted.Load(), "rejected", in.Rejected.Load(), "gone", in.Gone.Load()),
+		slog.Group("intake", "requests", in.Requests.Load(), "health", in.HealthChecks.Load(),
+			"submitted", in.Submitted.Load(), "rejected", in.Rejected.Load(), "gone", in.ClientsGone.Load()),
 		slog.Group("discovery", "lists", s.registry.Lists.Load(), "failed", s.registry.Failed.Load(),
 			"list_bytes_written", s.keeper.Written.Load(), "lists_unwritten", s.keeper.Unwritten.Load(),
 			"notices_pending", s.notices.Pending(), "notices_failed", s.notices.Failed.Load()),
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -16,11 +16,11 @@
 
 // Bounds on what a peer may send.
 const (
-	MaxHead   = 16 << 10 // bytes of a head, its lines together
-	MaxFields = 64       // header lines
-	MaxBody   = 64 << 10 // bytes of a message's body
+	MaxHeadBytes = 16 << 10 // bytes of a head, its lines together
+	MaxFields    = 64       // header lines
+	MaxBodyBytes = 64 << 10 // bytes of a message's body
 
-	MaxInterim = 16 // answers (1xx) ahead of the real one
+	MaxInterimResponses = 16 // answers (1xx) ahead of the real one
 )
 
 // Error is a fault in what a peer sent. Status is what a server answers to it.
@@ -75,9 +75,9 @@
 type Request struct {
 	Method, Target string
 	Header         Header
-	Length         int  // of the body
+	ContentLength  int  // of the body
 	Close          bool // the connection ends after the answer
-	Continue       bool // the client waits for leave to send the body
+	ExpectContinue bool // the client waits for leave to send the body
 }
 
 // Response is an answer.
@@ -91,7 +91,7 @@
 // ReadRequest reads the head of a request. It returns io.EOF if the peer ended before its first byte, an *Error
 // for what breaks the grammar or the bounds, and the connection's own error otherwise.
 func ReadRequest(br *bufio.Reader) (*Request, error) {
-	room := MaxHead
+	room := MaxHeadBytes
 	line, err := readLine(br, &room)
 	for blank := 0; err == nil && len(line) == 0 && blank < 2; blank++ { // stray line ends between requests
 		line, err = readLine(br, &room)
@@ -117,14 +117,14 @@
 	if r.Header.has("Transfer-Encoding") {
 		return nil, &Error{Status: 501, Msg: "transfer codings are not supported"}
 	}
-	if r.Length, _, err = contentLength(r.Header); err != nil {
+	if r.ContentLength, _, err = contentLength(r.Header); err != nil {
 		return nil, err
 	}
-	if r.Length > MaxBody {
+	if r.ContentLength > MaxBodyBytes {
 		return nil, &Error{Status: 413, Msg: "body too large"}
 	}
 	r.Close = closes(r.Header, minor)
-	r.Continue = r.Header.lists("Expect", "100-continue")
+	r.ExpectContinue = r.Header.lists("Expect", "100-continue")
 	return r, nil
 }
 
@@ -148,8 +148,8 @@
 
 // ReadResponse reads an answer with a body of at most most bytes, past the interim ones ahead of it.
 func ReadResponse(br *bufio.Reader, most int) (*Response, error) {
-	for range MaxInterim + 1 {
-		if r, err := ReadPart(br, most); err != nil || r.Status >= 200 {
+	for range MaxInterimResponses + 1 {
+		if r, err := ReadOneResponse(br, most); err != nil || r.Status >= 200 {
 			return r, err
 		}
 	}
@@ -158,7 +158,7 @@
 
 // ReadPart reads one answer, which may be an interim one. If the first line came and what follows it did not, the
 // response is returned with the error, so that its status can be told.
-func ReadPart(br *bufio.Reader, most int) (*Response, error) {
+func ReadOneResponse(br *bufio.Reader, most int) (*Response, error) {
 	r, length, err := readHead(br)
 	if err != nil || length == 0 {
 		return r, err
@@ -169,7 +169,7 @@
 // ReadResponseHead reads the head of an answer, past the interim ones ahead of it, and leaves its body to the caller: so many
 // bytes, or all to the end of the connection if the length is negative.
 func ReadResponseHead(br *bufio.Reader) (r *Response, length int, err error) {
-	for range MaxInterim + 1 {
+	for range MaxInterimResponses + 1 {
 		if r, length, err = readHead(br); err != nil || r.Status >= 200 {
 			return r, length, err
 		}
@@ -178,7 +178,7 @@
 }
 
 func readHead(br *bufio.Reader) (r *Response, length int, err error) {
-	room := MaxHead
+	room := MaxHeadBytes
 	line, bad := readLine(br, &room)
 	if bad != nil && line == "" {
 		return nil, 0, bad
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -16,7 +16,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	body, err := ReadBody(br, r.Length)
+	body, err := ReadBody(br, r.ContentLength)
 	return r, body, err
 }
 
@@ -26,7 +26,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Method != "POST" || r.Target != "/notice?x=1" || string(body) != "hel\r\n" || r.Close || !r.Continue {
+	if r.Method != "POST" || r.Target != "/notice?x=1" || string(body) != "hel\r\n" || r.Close || !r.ExpectContinue {
 		t.Errorf("got %+v, body %q", r, body)
 	}
 	if id := r.Header.Get("Req-Id"); id != "9b1f" {
@@ -76,8 +76,8 @@
 		"empty coding":        {"POST / HTTP/1.1\r\nTransfer-Encoding:\r\nContent-Length: 1\r\n\r\nx", 501},
 		"coding, second line": {"POST / HTTP/1.1\r\nTransfer-Encoding:\r\nTransfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n", 501},
 		"coding and length":   {"POST / HTTP/1.1\r\nContent-Length: 5\r\ntransfer-encoding: identity\r\n\r\n0\r\n\r\n", 501},
-		"head too long":       {"GET / HTTP/1.1\r\nX: " + strings.Repeat("x", MaxHead) + "\r\n\r\n", 400},
-		"line without end":    {strings.Repeat("x", MaxHead+1), 400},
+		"head too long":       {"GET / HTTP/1.1\r\nX: " + strings.Repeat("x", MaxHeadBytes) + "\r\n\r\n", 400},
+		"line without end":    {strings.Repeat("x", MaxHeadBytes+1), 400},
 		"too many lines":      {"GET / HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", MaxFields+1) + "\r\n", 400},
 	} {
 		_, _, err := parseRequest(c.text)
@@ -91,11 +91,11 @@
 // Interim answers are skipped, but not without end.
 func TestInterimAnswersAreBounded(t *testing.T) {
 	const interim, last = "HTTP/1.1 102 Processing\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-	if r, err := parseResponse(strings.Repeat(interim, MaxInterim) + last); err != nil || r.Status != 200 {
-		t.Errorf("%d interim answers: %+v, %v", MaxInterim, r, err)
+	if r, err := parseResponse(strings.Repeat(interim, MaxInterimResponses) + last); err != nil || r.Status != 200 {
+		t.Errorf("%d interim answers: %+v, %v", MaxInterimResponses, r, err)
 	}
-	if r, err := parseResponse(strings.Repeat(interim, MaxInterim+1) + last); err == nil {
-		t.Errorf("%d interim answers: %+v, want an error", MaxInterim+1, r)
+	if r, err := parseResponse(strings.Repeat(interim, MaxInterimResponses+1) + last); err == nil {
+		t.Errorf("%d interim answers: %+v, want an error", MaxInterimResponses+1, r)
 	}
 }
 
@@ -113,10 +113,10 @@
 }
 
 func TestLargestBody(t *testing.T) {
-	body := bytes.Repeat([]byte("x"), MaxBody)
+	body := bytes.Repeat([]byte("x"), MaxBodyBytes)
 	_, got, err := parseRequest(string(AppendRequest(nil, "POST", "/", nil, body)))
 	if err != nil || !bytes.Equal(got, body) {
-		t.Errorf("a body of %d bytes: got %d, error %v", MaxBody, len(got), err)
+		t.Errorf("a body of %d bytes: got %d, error %v", MaxBodyBytes, len(got), err)
 	}
 }
 
@@ -173,11 +173,11 @@
 		if err != nil {
 			return
 		}
-		body, err := ReadBody(br, r.Length)
+		body, err := ReadBody(br, r.ContentLength)
 		if err != nil {
 			return
 		}
-		if len(r.Header) > MaxFields || len(body) > MaxBody {
+		if len(r.Header) > MaxFields || len(body) > MaxBodyBytes {
 			t.Fatalf("bounds passed: %d lines, %d bytes", len(r.Header), len(body))
 		}
 		fields := slices.DeleteFunc(slices.Clone(r.Header), func(f Field) bool { return strings.EqualFold(f.Name, "Content-Length") })
--- a/internal/intake/endings_test.go
+++ b/internal/intake/endings_test.go
@@ -40,7 +40,7 @@
 	} {
 		s := newSite(t, nil, func(cfg *Config) {
 			if c.status == 408 {
-				cfg.Slow = 100 * time.Millisecond
+				cfg.RequestTimeout = 100 * time.Millisecond
 			}
 		})
 		p := s.dial()
@@ -110,7 +110,7 @@
 			}()
 		}
 	}
-	testkit.Eventually(t, "all accepted", func() bool { return s.Open() == 3 })
+	testkit.Eventually(t, "all accepted", func() bool { return s.OpenConns() == 3 })
 	s.ln.Close()
 	begun := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
@@ -119,7 +119,7 @@
 	if took := time.Since(begun); took > time.Second {
 		t.Errorf("the end took %v, allowed were 0.1 s", took)
 	}
-	if n := s.Open(); n != 0 {
+	if n := s.OpenConns(); n != 0 {
 		t.Errorf("%d connections are still open", n)
 	}
 }
@@ -178,7 +178,7 @@
 	if took := time.Since(begun); took > 5*time.Second {
 		t.Errorf("a newcomer waited %v", took)
 	}
-	if n := s.Open(); n > 16 {
+	if n := s.OpenConns(); n > 16 {
 		t.Errorf("%d connections open, cap 16", n)
 	}
 }
@@ -244,7 +244,7 @@
 			t.Errorf("%s: a newcomer got %d", name, r.Status)
 		}
 		fresh.Close()
-		testkit.Eventually(t, name+" gone", func() bool { return s.Open() == 1 })
+		testkit.Eventually(t, name+" gone", func() bool { return s.OpenConns() == 1 })
 	}
 	old.send(request("last"))
 	if r := old.answer(); r.Status != 202 {
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -31,22 +31,22 @@
 
 // Config is what a server starts from.
 type Config struct {
-	Exchange *exchange.Exchange
-	Ready    func() bool
-	Classes  []string
-	MaxConns int
-	Slow     time.Duration // for a client to send one request; for the first, from its connecting
-	Idle     time.Duration // between two requests
-	Log      *slog.Logger
+	Exchange       *exchange.Exchange
+	Ready          func() bool
+	Classes        []string
+	MaxConns       int
+	RequestTimeout time.Duration // for a client to send one request; for the first, from its connecting
+	IdleTimeout    time.Duration // between two requests
+	Log            *slog.Logger
 }
 
 // Counts is what the server has answered itself, without the exchange.
 type Counts struct {
-	Requests  atomic.Int64 // heads read whole, health checks too
-	Health    atomic.Int64
-	Submitted atomic.Int64 // given to the exchange
-	Rejected  atomic.Int64 // answered as not well formed
-	Gone      atomic.Int64 // clients that left before their answer
+	Requests     atomic.Int64 // heads read whole, health checks too
+	HealthChecks atomic.Int64
+	Submitted    atomic.Int64 // given to the exchange
+	Rejected     atomic.Int64 // answered as not well formed
+	ClientsGone  atomic.Int64 // clients that left before their answer
 }
 
 // Server serves clients.
@@ -147,7 +147,7 @@
 }
 
 // Open is the number of connections.
-func (s *Server) Open() int {
+func (s *Server) OpenConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
@@ -267,10 +267,10 @@
 func (s *Server) await(c *client) bool {
 	s.mu.Lock()
 	c.state = idle
-	limit := c.opened.Add(s.cfg.Slow)
+	limit := c.opened.Add(s.cfg.RequestTimeout)
 	if c.proven {
 		c.since = time.Now()
-		limit = c.since.Add(s.cfg.Idle)
+		limit = c.since.Add(s.cfg.IdleTimeout)
 	}
 	if s.closing || c.leaving {
 		limit = longAgo
@@ -278,7 +278,7 @@
 	c.nc.SetReadDeadline(limit)
 	s.mu.Unlock()
 	_, err := c.br.Peek(1)
-	if errors.Is(err, os.ErrDeadlineExceeded) && !socket.Silent(c.nc) {
+	if errors.Is(err, os.ErrDeadlineExceeded) && !socket.ReadWouldBlock(c.nc) {
 		err = nil
 	}
 	s.enter(c, reading)
@@ -289,8 +289,8 @@
 func (s *Server) begin(c *client, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	end := now.Add(s.cfg.Slow)
-	if first := c.opened.Add(s.cfg.Slow); !c.proven && first.Before(end) {
+	end := now.Add(s.cfg.RequestTimeout)
+	if first := c.opened.Add(s.cfg.RequestTimeout); !c.proven && first.Before(end) {
 		end = first
 	}
 	if soon := s.soon(now); s.closing && soon.Before(end) {
@@ -310,10 +310,10 @@
 	if err != nil {
 		return s.reject(c, err)
 	}
-	if req.Continue && req.Length > 0 {
+	if req.ExpectContinue && req.ContentLength > 0 {
 		c.nc.Write(http1.AppendResponse(nil, 100, nil, nil))
 	}
-	body, err := http1.ReadBody(c.br, req.Length)
+	body, err := http1.ReadBody(c.br, req.ContentLength)
 	if err != nil {
 		return s.reject(c, err)
 	}
@@ -321,7 +321,7 @@
 	s.Counts.Requests.Add(1)
 	a, taken := s.handle(c, req, body, arrived)
 	if a.status == 0 {
-		s.Counts.Gone.Add(1)
+		s.Counts.ClientsGone.Add(1)
 		return false
 	}
 	ends := s.prove(c, a.proves) || req.Close
@@ -334,7 +334,7 @@
 		if taken != "" {
 			s.cfg.Exchange.Withdraw(taken)
 		}
-		s.Counts.Gone.Add(1)
+		s.Counts.ClientsGone.Add(1)
 		return false
 	}
 	return !ends
@@ -352,7 +352,7 @@
 func (s *Server) limitWrite(c *client) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	end := time.Now().Add(s.cfg.Slow)
+	end := time.Now().Add(s.cfg.RequestTimeout)
 	if s.closing {
 		end = s.endBy
 	}
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -62,7 +62,7 @@
 	go x.Run()
 	s := &site{t: t, x: x}
 	cfg := Config{Exchange: x, Ready: func() bool { return !s.down.Load() }, Classes: []string{"stock"}, MaxConns: 10,
-		Slow: 20 * time.Second, Idle: 20 * time.Second, Log: quiet}
+		RequestTimeout: 20 * time.Second, IdleTimeout: 20 * time.Second, Log: quiet}
 	if change != nil {
 		change(&cfg)
 	}
@@ -261,7 +261,7 @@
 
 // A client that sends its request too slowly is told so and cut off; one that is idle too long is cut off.
 func TestSlowClients(t *testing.T) {
-	s := newSite(t, nil, func(c *Config) { c.Slow, c.Idle = 50*time.Millisecond, 50*time.Millisecond })
+	s := newSite(t, nil, func(c *Config) { c.RequestTimeout, c.IdleTimeout = 50*time.Millisecond, 50*time.Millisecond })
 	for _, part := range []string{"POST /sto", good[:len(good)-1]} {
 		p := s.dial()
 		p.send(part)
@@ -279,7 +279,7 @@
 // The time for a first request runs from the connecting, whatever comes meanwhile: a client that says nothing is cut
 // off by it, and so is one that keeps sending a byte at a time or requests of no use.
 func TestFirstRequestHasItsTime(t *testing.T) {
-	s := newSite(t, nil, func(c *Config) { c.Slow = 100 * time.Millisecond })
+	s := newSite(t, nil, func(c *Config) { c.RequestTimeout = 100 * time.Millisecond })
 	if p := s.dial(); !p.closed() {
 		t.Error("a silent client stays")
 	}
@@ -338,7 +338,7 @@
 	s := newSite(t, nil, nil) // 20 s for a request
 	p := s.dial()
 	p.send(request("x")[:30])
-	testkit.Eventually(t, "begun", func() bool { return s.Open() == 1 && s.between() == 0 })
+	testkit.Eventually(t, "begun", func() bool { return s.OpenConns() == 1 && s.between() == 0 })
 	begun := time.Now()
 	s.ln.Close()
 	s.Close(context.Background())
@@ -373,7 +373,7 @@
 		t.Error("the connection goes on")
 	}
 	testkit.Eventually(t, "withdrawn", func() bool { return s.x.Counts().Withdrawn == 1 })
-	if s.Counts.Gone.Load() != 1 {
+	if s.Counts.ClientsGone.Load() != 1 {
 		t.Error("not counted")
 	}
 }
@@ -389,7 +389,7 @@
 			t.Fatalf("connection %d: status %d", i, r.Status)
 		}
 		peers = append(peers, p)
-		if n := s.Open(); n > 2 {
+		if n := s.OpenConns(); n > 2 {
 			t.Errorf("%d connections open, cap 2", n)
 		}
 	}
@@ -426,7 +426,7 @@
 		if r := old.answer(); r.Status != 202 {
 			t.Errorf("%s: a client from before the crowd: status %d", name, r.Status)
 		}
-		if n := s.Open(); n > 8 {
+		if n := s.OpenConns(); n > 8 {
 			t.Errorf("%s: %d connections open, cap 8", name, n)
 		}
 	}
@@ -471,10 +471,10 @@
 // Whatever a client sends, it is answered or closed once it has ended, by answers that can be read, and no message is
 // taken on whose form is wrong.
 func FuzzClient(f *testing.F) {
-	s := newSite(f, nil, func(c *Config) { c.Slow = 2 * time.Second })
+	s := newSite(f, nil, func(c *Config) { c.RequestTimeout = 2 * time.Second })
 	for _, text := range []string{
 		request("a") + request("b"), "\x00\xff\r\n\r\n", "GET /health/ready HTTP/1.1\r\n\r\n",
-		"POST /stock HTTP/1.1\r\nX: " + strings.Repeat("y", http1.MaxHead),
+		"POST /stock HTTP/1.1\r\nX: " + strings.Repeat("y", http1.MaxHeadBytes),
 		strings.Replace(request("c"), "Content-Length: 2", "Content-Length: -2", 1),
 		strings.Replace(request("d"), "Content-Length: 2", "Content-Length: 60000000", 1) + strings.Repeat("x", 100<<10),
 		strings.Replace(request("e"), "Content-Length: 2", "Content-Length: 2\r\nTransfer-Encoding:", 1) + request("hidden"),
@@ -497,7 +497,7 @@
 		}()
 		br := bufio.NewReader(nc)
 		for {
-			r, err := http1.ReadPart(br, 1<<16)
+			r, err := http1.ReadOneResponse(br, 1<<16)
 			if errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Fatal("neither answered nor closed")
 			}
--- a/internal/intake/request.go
+++ b/internal/intake/request.go
@@ -33,7 +33,7 @@
 	class, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	switch {
 	case path == "/health/ready" || path == "/health/live":
-		s.Counts.Health.Add(1)
+		s.Counts.HealthChecks.Add(1)
 		return s.health(path, req.Method), ""
 	case !s.classes[class]:
 		return s.bad(404, "no such path"), ""
--- a/internal/outbound/outbound.go
+++ b/internal/outbound/outbound.go
@@ -315,7 +315,7 @@
 	// The read that was made to time out may have left bytes or an end in the kernel: what lies there when a call is
 	// written would be taken for its answer. Guards against a second copy of an answer and noise behind one; what
 	// arrives later still cannot be told from an answer.
-	return next, errors.Is(err, os.ErrDeadlineExceeded) && time.Since(c.since) < p.cfg.KeepAlive && socket.Silent(c.nc)
+	return next, errors.Is(err, os.ErrDeadlineExceeded) && time.Since(c.since) < p.cfg.KeepAlive && socket.ReadWouldBlock(c.nc)
 }
 
 // write sends a call. If connections have lately been reset under calls, its last byte goes after a moment in which the
@@ -349,7 +349,7 @@
 // nothing about when the real one comes. A call given up is looked at once more: an answer that has come and was not read
 // yet may tell a wait, which holds from when it was written.
 func (c *conn) answer(j *job) (*http1.Response, error) {
-	for range http1.MaxInterim + 1 {
+	for range http1.MaxInterimResponses + 1 {
 		_, err := c.br.Peek(1)
 		if errors.Is(err, os.ErrDeadlineExceeded) && j.givenUp() {
 			c.nc.SetReadDeadline(time.Now().Add(leastMoment))
@@ -359,7 +359,7 @@
 			return nil, err
 		}
 		j.limit(answerLimit)
-		if resp, err := http1.ReadPart(c.br, maxAnswer); err != nil || resp.Status >= 200 {
+		if resp, err := http1.ReadOneResponse(c.br, maxAnswer); err != nil || resp.Status >= 200 {
 			return resp, err
 		}
 		j.limit(0)
--- a/internal/outbound/outbound_test.go
+++ b/internal/outbound/outbound_test.go
@@ -281,7 +281,7 @@
 			if err != nil {
 				return
 			}
-			if _, err := http1.ReadBody(br, req.Length); err != nil {
+			if _, err := http1.ReadBody(br, req.ContentLength); err != nil {
 				return
 			}
 			mu.Lock()
@@ -475,7 +475,7 @@
 		if _, err := io.WriteString(server, "HTTP/1.1 200 OK\r\n\r\n"); err != nil {
 			t.Fatal(err)
 		}
-		testkit.Eventually(t, "bytes there", func() bool { return !socket.Silent(client) })
+		testkit.Eventually(t, "bytes there", func() bool { return !socket.ReadWouldBlock(client) })
 	}
 }
 
@@ -693,7 +693,7 @@
 			if err != nil {
 				return
 			}
-			if _, err := http1.ReadBody(br, req.Length); err != nil {
+			if _, err := http1.ReadBody(br, req.ContentLength); err != nil {
 				return
 			}
 			io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -10,7 +10,7 @@
 
 // Silent tells whether neither bytes nor an end have come that the connection's owner has not read yet. It looks past
 // the runtime, whose reads give up without looking once their deadline has passed. What has no socket counts as silent.
-func Silent(nc net.Conn) bool {
+func ReadWouldBlock(nc net.Conn) bool {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
 		return true
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -27,26 +27,26 @@
 
 func TestSilent(t *testing.T) {
 	client, server := pair(t)
-	if !Silent(client) {
+	if !ReadWouldBlock(client) {
 		t.Error("a connection on which nothing came is not silent")
 	}
 	if _, err := io.WriteString(server, "x"); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Eventually(t, "a byte seen", func() bool { return !Silent(client) })
+	testkit.Eventually(t, "a byte seen", func() bool { return !ReadWouldBlock(client) })
 	if n, err := client.Read(make([]byte, 2)); n != 1 || err != nil {
 		t.Errorf("reading what was seen: %d bytes, %v", n, err)
 	}
-	if !Silent(client) {
+	if !ReadWouldBlock(client) {
 		t.Error("not silent once all was read")
 	}
 	server.Close()
-	testkit.Eventually(t, "the end seen", func() bool { return !Silent(client) })
+	testkit.Eventually(t, "the end seen", func() bool { return !ReadWouldBlock(client) })
 	client.Close()
-	if Silent(client) {
+	if ReadWouldBlock(client) {
 		t.Error("a closed connection is silent")
 	}
-	if a, _ := net.Pipe(); !Silent(a) {
+	if a, _ := net.Pipe(); !ReadWouldBlock(a) {
 		t.Error("what has no socket is not silent")
 	}
 }
--- a/lab/live/connections.go
+++ b/lab/live/connections.go
@@ -122,7 +122,7 @@
 		if err != nil {
 			return
 		}
-		body, err := http1.ReadBody(br, head.Length)
+		body, err := http1.ReadBody(br, head.ContentLength)
 		if err != nil {
 			return
 		}
--- a/standin/platform/server.go
+++ b/standin/platform/server.go
@@ -110,7 +110,7 @@
 	if req, err = http1.ReadRequest(br); err != nil {
 		return nil, nil, err
 	}
-	body, err = http1.ReadBody(br, req.Length)
+	body, err = http1.ReadBody(br, req.ContentLength)
 	return req, body, err
 }
 
