--- a/cmd/eiderhaven/backlog_test.go
+++ b/cmd/eiderhaven/backlog_test.go
@@ -207,9 +207,9 @@
 		}
 		c.took = nil
 		c.rate(time.Second)
-		served := len(p.ep.Received())
+		served := len(p.ep.ReceivedIDs())
 		over := c.handIn(t, p, clients, 1<<40, *measureFor)
-		rates[clients] = float64(len(p.ep.Received())-served) / over.Seconds()
+		rates[clients] = float64(len(p.ep.ReceivedIDs())-served) / over.Seconds()
 		t.Logf("%d clients, room for %d full: %.0f taken and %.0f served a second, answer in the median after %v", clients, *roomFor, c.rate(over),
 			rates[clients], c.median().Round(100*time.Microsecond))
 	}
--- a/cmd/eiderhaven/endings_test.go
+++ b/cmd/eiderhaven/endings_test.go
@@ -59,7 +59,7 @@
 	br, ended := bufio.NewReader(nc), make(chan struct{})
 	defer close(ended)
 	for {
-		req, body, err := platform.Read(br)
+		req, body, err := platform.ReadRequest(br)
 		if err != nil {
 			return
 		}
@@ -80,20 +80,20 @@
 			p.launch()
 			p.handIn("long", class, 60000) // waits for company: a quarter of its aim
 			p.handIn("brief", class, 700)
-			call := testkit.Next(t, ep.calls, "call")
+			call := testkit.Receive(t, ep.calls, "call")
 			if call.target != "/receive-many" || !strings.Contains(call.body, "brief ") || !strings.Contains(call.body, "long ") {
 				t.Fatalf("%s %q, want one call of both messages", call.target, call.body)
 			}
 			if ms, err := strconv.Atoi(call.waiting); err != nil || ms > 700 {
 				t.Errorf("the call tells that it waits %q ms, want no more than its first message has", call.waiting)
 			}
-			testkit.Next(t, call.ended, "end of the call")
+			testkit.Receive(t, call.ended, "end of the call")
 			testkit.Eventually(t, "told of the one out of time", func() bool { return p.notice("brief") != "" })
 			if !repeated {
 				testkit.Eventually(t, "told of the other", func() bool { return strings.Contains(p.notice("long"), "dead") })
 				return
 			}
-			again := testkit.Next(t, ep.calls, "second call")
+			again := testkit.Receive(t, ep.calls, "second call")
 			if again.Conn == call.Conn || strings.Contains(again.body, "brief") || p.notice("long") != "" {
 				t.Errorf("%s %q, notice %q, want the other alone on another connection", again.target, again.body, p.notice("long"))
 			}
@@ -125,7 +125,7 @@
 	t.Cleanup(disc.Close)
 	p := placeAt(t, disc)
 	p.configure(func(c map[string]any) { c["limits"].(map[string]any)["sockets"] = fewSockets })
-	disc.Mute(true)
+	disc.DropListRequests(true)
 	proc := p.launchBy("/bin/sh", "-c", fmt.Sprintf(`%sulimit -n %d; exec "$0"`, before, fewSockets), os.Args[0])
 	for range 100 { // each has been served once and rests
 		nc, err := net.Dial("tcp", p.listen)
@@ -144,20 +144,20 @@
 	for i := range 5 {
 		hosts = append(hosts, platform.Entry{Host: fmt.Sprint("s-", i), Dial: ep.Addr(), Site: "here", Class: "any", Block: 5 + i, Health: "Ready"})
 	}
-	disc.Set(hosts...)
-	disc.Mute(false)
+	disc.SetList(hosts...)
+	disc.DropListRequests(false)
 	testkit.Eventually(t, "taken on", func() bool {
 		r, err := p.ask(handIn("a", "payment", 300))
 		return err == nil && r.Status == 202
 	})
-	testkit.Next(t, ep.calls, "call")
+	testkit.Receive(t, ep.calls, "call")
 	testkit.Eventually(t, "told", func() bool { return p.notice("a") != "" })
 	for i := range 10 { // as many calls out as there are slots
 		text := strings.Replace(handIn(fmt.Sprint("b", i), "payment", 16000), "dest=7", fmt.Sprint("dest=", 5+i%5), 1)
 		if r, err := p.ask(text); err != nil || r.Status != 202 {
 			t.Fatalf("message %d: %+v, %v", i, r, err)
 		}
-		testkit.Next(t, ep.calls, "call")
+		testkit.Receive(t, ep.calls, "call")
 	}
 	testkit.Eventually(t, "counters", func() bool {
 		proc.Process.Signal(syscall.SIGUSR1)
@@ -185,19 +185,19 @@
 	p, ep := silentPlace(t)
 	proc := p.launch()
 	p.handIn("held", "payment", 60000)
-	testkit.Next(t, ep.calls, "call")
+	testkit.Receive(t, ep.calls, "call")
 	begun := time.Now()
 	proc.Process.Signal(syscall.SIGTERM)
 	testkit.Eventually(t, "draining", func() bool { return strings.Contains(proc.said(), "phase name=n1 is=draining") })
 	proc.Process.Signal(syscall.SIGTERM)
 	proc.Process.Signal(syscall.SIGINT)
 	p.handIn("after", "stock", 60000)
-	testkit.Next(t, ep.calls, "call of what came after")
+	testkit.Receive(t, ep.calls, "call of what came after")
 	if code, took := proc.exit(), time.Since(begun); code != 0 || took < drainFor || took > exitBy+2*time.Second { // of a busy machine
 		t.Errorf("ended after %v with code %d, want 0 between %v and %v", took, code, drainFor, exitBy)
 	}
 
-	p.disc.Mute(true)
+	p.disc.DropListRequests(true)
 	proc = p.startBy(os.Args[0])
 	testkit.Eventually(t, "recovering", func() bool { return strings.Contains(proc.said(), "phase name=n1 is=recovering") })
 	proc.Process.Signal(syscall.SIGTERM)
--- a/cmd/eiderhaven/list_bench_test.go
+++ b/cmd/eiderhaven/list_bench_test.go
@@ -29,7 +29,7 @@
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { ep.Close(); disc.Close() })
-	disc.Remember(1000)
+	disc.KeepChanges(1000)
 	p := placeAt(b, disc)
 	p.ep = ep
 	p.configure(func(c map[string]any) {
@@ -71,7 +71,7 @@
 			b.Run(fmt.Sprintf("%d/%s", n, from), func(b *testing.B) {
 				p := longPlace(b, n)
 				if from == "known" {
-					p.configure(func(c map[string]any) { c["known"] = json.RawMessage(p.disc.List()) })
+					p.configure(func(c map[string]any) { c["known"] = json.RawMessage(p.disc.ListJSON()) })
 				}
 				if from == "left" {
 					proc := p.launch()
@@ -84,7 +84,7 @@
 					if from == "whole" {
 						p.state = b.TempDir()
 					}
-					before, begun := p.disc.Bytes(), time.Now()
+					before, begun := p.disc.ListBytes(), time.Now()
 					proc := p.startBy(os.Args[0])
 					at := time.Duration(-1)
 					for at < 0 && time.Since(begun) < 20*time.Second {
@@ -104,7 +104,7 @@
 					}
 					force += at.Seconds() * 1e3
 					p.kept() // and quiet
-					bytes += float64(p.disc.Bytes() - before)
+					bytes += float64(p.disc.ListBytes() - before)
 					status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", proc.Process.Pid))
 					if err != nil {
 						b.Fatal(err)
@@ -142,16 +142,16 @@
 			}
 			p.kept()
 			over := func(d time.Duration, do func()) float64 {
-				before := p.disc.Bytes()
+				before := p.disc.ListBytes()
 				do()
 				time.Sleep(d)
-				return float64(p.disc.Bytes() - before)
+				return float64(p.disc.ListBytes() - before)
 			}
 			const while = 9 * time.Second
 			var idle, failing float64
 			for b.Loop() {
 				idle += over(while, func() {})
-				failing += over(while, p.disc.Lose)
+				failing += over(while, p.disc.SilenceWatches)
 			}
 			perMinute := idle / float64(b.N) * float64(time.Minute) / float64(while)
 			b.ReportMetric(0, "ns/op")
--- a/cmd/eiderhaven/list_test.go
+++ b/cmd/eiderhaven/list_test.go
@@ -49,7 +49,7 @@
 
 // tried tells whether an endpoint has got a message.
 func tried(eps []*platform.Endpoint) bool {
-	return slices.ContainsFunc(eps, func(ep *platform.Endpoint) bool { return len(ep.Received()) > 0 })
+	return slices.ContainsFunc(eps, func(ep *platform.Endpoint) bool { return len(ep.ReceivedIDs()) > 0 })
 }
 
 func (p *process) kill() {
@@ -92,11 +92,11 @@
 		}, wholeList, "before the settings changed"},
 		"older than the configuration's": {func(t *testing.T, p *place) {
 			p.configure(func(c map[string]any) {
-				c["known"] = json.RawMessage(strings.Replace(string(p.disc.List()), `"seq":4`, `"seq":4000`, 1))
+				c["known"] = json.RawMessage(strings.Replace(string(p.disc.ListJSON()), `"seq":4`, `"seq":4000`, 1))
 			})
 		}, wholeList, ""},
-		"of a later version than discovery has": {func(t *testing.T, p *place) { p.disc.Count(0) }, wholeList + "?after=2&wait_ms=1", "gone on with"},
-		"too old a version":                     {func(t *testing.T, p *place) { p.disc.Remember(0) }, wholeList + "?after=2&wait_ms=1", "gone on with"},
+		"of a later version than discovery has": {func(t *testing.T, p *place) { p.disc.RestartVersions(0) }, wholeList + "?after=2&wait_ms=1", "gone on with"},
+		"too old a version":                     {func(t *testing.T, p *place) { p.disc.KeepChanges(0) }, wholeList + "?after=2&wait_ms=1", "gone on with"},
 		"a file in its place": {func(t *testing.T, p *place) {
 			if err := os.WriteFile(p.listFile(), []byte(strings.Repeat("what is this", 1000)), 0o600); err != nil {
 				t.Fatal(err)
@@ -127,14 +127,14 @@
 				t.Fatal(err)
 			}
 			t.Cleanup(disc.Close)
-			disc.Remember(10)
+			disc.KeepChanges(10)
 			p := placeAt(t, disc)
 			p.configure(func(c map[string]any) { c["known"] = json.RawMessage(`{"seq":0,"whole":true,"hosts":[]}`) })
 			proc := p.launch()
 			p.listed("stays")
-			disc.Set(append(first, at("more", stays, 8, "Ready"))...)
+			disc.SetList(append(first, at("more", stays, 8, "Ready"))...)
 			p.listed("more")
-			disc.Set(append(first, at("other", stays, 8, "Ready"))...)
+			disc.SetList(append(first, at("other", stays, 8, "Ready"))...)
 			p.listed("other")
 			for i := range 5 { // owed by the next process
 				p.handIn(fmt.Sprint("owed", i), "stock", 16000)
@@ -142,13 +142,13 @@
 			testkit.Eventually(t, "tried", func() bool { return tried(eps[:]) })
 			proc.kill()
 			open.Store(true)
-			disc.Set(first[0], at("drains", drains, 7, "Terminating"), at("comes", comes, 9, "Ready"))
+			disc.SetList(first[0], at("drains", drains, 7, "Terminating"), at("comes", comes, 9, "Ready"))
 			if c.away != nil {
 				c.away(t, p)
 			}
-			before, drained, gone := len(disc.Asked()), len(drains.Received()), len(goes.Received())
+			before, drained, gone := len(disc.ListRequestTargets()), len(drains.ReceivedIDs()), len(goes.ReceivedIDs())
 			proc = p.launch()
-			if asked := disc.Asked()[before]; asked != c.asks {
+			if asked := disc.ListRequestTargets()[before]; asked != c.asks {
 				t.Errorf("asked %s, want %s", asked, c.asks)
 			}
 			testkit.Eventually(t, "the new endpoint's message", func() bool {
@@ -159,16 +159,16 @@
 				p.handIn(fmt.Sprint("m", i), "stock", 16000)
 			}
 			testkit.Eventually(t, "delivered", func() bool {
-				have := stays.Received()
+				have := stays.ReceivedIDs()
 				for i := range 20 {
 					if !slices.Contains(have, fmt.Sprint("m", i)) || !slices.Contains(have, fmt.Sprint("owed", i%5)) {
 						return false
 					}
 				}
-				return len(comes.Received()) > 0
+				return len(comes.ReceivedIDs()) > 0
 			})
-			if len(drains.Received()) > drained || len(goes.Received()) > gone {
-				t.Errorf("%d calls to an endpoint that drained, %d to one that went", len(drains.Received())-drained, len(goes.Received())-gone)
+			if len(drains.ReceivedIDs()) > drained || len(goes.ReceivedIDs()) > gone {
+				t.Errorf("%d calls to an endpoint that drained, %d to one that went", len(drains.ReceivedIDs())-drained, len(goes.ReceivedIDs())-gone)
 			}
 			if !strings.Contains(proc.said(), c.line) {
 				t.Errorf("no word of %q:\n%s", c.line, proc.said())
@@ -183,7 +183,7 @@
 func TestAListOfAnotherDiscovery(t *testing.T) {
 	old, now := newEndpoint(t), newEndpoint(t)
 	p := newPlace(t, nil)
-	p.disc.Set(at("old", old, 7, "Ready"))
+	p.disc.SetList(at("old", old, 7, "Ready"))
 	proc := p.launch()
 	p.listed("old")
 	proc.kill()
@@ -192,21 +192,21 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(disc.Close)
-	disc.Remember(10)
-	disc.Count(2) // as the other one
+	disc.KeepChanges(10)
+	disc.RestartVersions(2) // as the other one
 	p.configure(func(c map[string]any) {
 		c["discovery"], c["known"] = disc.Addr(), json.RawMessage(`{"seq":0,"whole":true,"hosts":[]}`)
 	})
 	p.launch()
-	if asked := disc.Asked()[0]; asked != wholeList {
+	if asked := disc.ListRequestTargets()[0]; asked != wholeList {
 		t.Errorf("asked %s", asked)
 	}
 	testkit.Eventually(t, "taken on", func() bool {
 		r, err := p.ask(handIn("a", "stock", 16000))
 		return err == nil && (r.Status == 202 || r.Status == 409)
 	})
-	testkit.Eventually(t, "delivered", func() bool { return len(now.Received()) > 0 })
-	if len(old.Received()) > 0 {
+	testkit.Eventually(t, "delivered", func() bool { return len(now.ReceivedIDs()) > 0 })
+	if len(old.ReceivedIDs()) > 0 {
 		t.Error("a call to an endpoint of the other discovery")
 	}
 	p.listed("now")
@@ -220,21 +220,21 @@
 	p.configure(func(c map[string]any) {
 		c["known"] = json.RawMessage(fmt.Sprintf(`{"seq":0,"whole":true,"hosts":[{"host":"only","dial":%q,"site":"here","class":"any","block":5,"health":"Ready"}]}`, only.Addr()))
 	})
-	p.disc.Set(at("left", ep, 7, "Ready"))
+	p.disc.SetList(at("left", ep, 7, "Ready"))
 	proc := p.launch()
 	p.listed("left")
 	proc.kill()
-	p.disc.Mute(true)
+	p.disc.DropListRequests(true)
 	p.launch()
 	p.handIn("a", "stock", 16000)
-	testkit.Eventually(t, "delivered", func() bool { return len(ep.Received()) == 1 })
+	testkit.Eventually(t, "delivered", func() bool { return len(ep.ReceivedIDs()) == 1 })
 	if r, err := p.ask(strings.Replace(handIn("b", "stock", 16000), "dest=7", "dest=5", 1)); err != nil || r.Status == 400 {
 		t.Errorf("a destination of the configuration's: %+v, %v", r, err)
 	}
 	if r, err := p.ask(strings.Replace(handIn("c", "stock", 16000), "dest=7", "dest=6", 1)); err != nil || r.Status != 400 {
 		t.Errorf("a destination of nobody's: %+v, %v", r, err)
 	}
-	if len(only.Received()) > 0 {
+	if len(only.ReceivedIDs()) > 0 {
 		t.Error("a call to an endpoint that the newer list lacks")
 	}
 }
@@ -246,7 +246,7 @@
 	for i := range 30_000 { // 1.2 MB, a quarter of the folder's 3 MB is 0.75
 		list = append(list, at(fmt.Sprintf("s-%08x", i), p.ep, i, "Ready"))
 	}
-	p.disc.Set(list...)
+	p.disc.SetList(list...)
 	proc := p.launch()
 	testkit.Eventually(t, "taken on and counted", func() bool {
 		p.ask(strings.Replace(handIn("a", "stock", 16000), "dest=7", "dest=29999", 1))
@@ -284,8 +284,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(disc.Close)
-	disc.Remember(10)
-	disc.List() // made before it is asked for
+	disc.KeepChanges(10)
+	disc.ListJSON() // made before it is asked for
 	p := placeAt(t, disc)
 	p.configure(func(c map[string]any) {
 		c["known"] = json.RawMessage(`{"seq":0,"whole":true,"hosts":[]}`)
@@ -331,31 +331,31 @@
 		})
 	}
 	testkit.Eventually(t, "load", func() bool { return taken.Load() > 200 })
-	asked := len(disc.Asked())
+	asked := len(disc.ListRequestTargets())
 	changed := slices.Clone(list)
 	for i := range changed { // half of the destinations lose all their endpoints and get others
 		if i%dests < dests/2 {
 			changed[i] = at(fmt.Sprintf("t-%08x", i), now, i%dests, "Ready")
 		}
 	}
-	disc.Set(changed...)
-	testkit.Eventually(t, "the change in force", func() bool { return len(now.Received()) > 100 })
+	disc.SetList(changed...)
+	testkit.Eventually(t, "the change in force", func() bool { return len(now.ReceivedIDs()) > 100 })
 	more := func(n int64) {
 		begun := taken.Load()
 		testkit.Eventually(t, "load behind it", func() bool { return taken.Load() > begun+n })
 	}
 	more(100) // what was on its way has arrived
-	before := len(old.Received())
+	before := len(old.ReceivedIDs())
 	more(500)
 	end()
-	for _, id := range old.Received()[before:] {
+	for _, id := range old.ReceivedIDs()[before:] {
 		var client, i int
 		if _, err := fmt.Sscanf(id, "m-%d-%d", &client, &i); err != nil || (client*257+i)%dests < dests/2 {
 			t.Errorf("%s went to an endpoint that was replaced", id)
 		}
 	}
-	testkit.Eventually(t, "all delivered", func() bool { return int64(len(old.Received())+len(now.Received())) >= taken.Load()+1 })
-	for _, target := range disc.Asked()[asked:] {
+	testkit.Eventually(t, "all delivered", func() bool { return int64(len(old.ReceivedIDs())+len(now.ReceivedIDs())) >= taken.Load()+1 })
+	for _, target := range disc.ListRequestTargets()[asked:] {
 		if !strings.Contains(target, "after=") {
 			t.Error("the whole list was asked for")
 		}
@@ -385,37 +385,37 @@
 	var proc *process
 	// passed is how much passes from an act on, until the next watch has begun, and what was asked meanwhile.
 	passed := func(act func()) (int64, []string) {
-		before, asked := p.disc.Bytes(), len(p.disc.Asked())
+		before, asked := p.disc.ListBytes(), len(p.disc.ListRequestTargets())
 		act()
 		testkit.Eventually(t, "a watch behind a call that does not wait", func() bool {
-			all := p.disc.Asked()[asked:]
+			all := p.disc.ListRequestTargets()[asked:]
 			return len(all) > 1 && strings.Contains(all[len(all)-1], "wait_ms=1500") && !strings.Contains(all[len(all)-2], "wait_ms=1500")
 		})
-		return p.disc.Bytes() - before, p.disc.Asked()[asked:]
+		return p.disc.ListBytes() - before, p.disc.ListRequestTargets()[asked:]
 	}
 	first, _ := passed(func() { proc = p.launch() })
-	if size := int64(len(p.disc.List())); first < size || first > size+1000 {
+	if size := int64(len(p.disc.ListJSON())); first < size || first > size+1000 {
 		t.Errorf("%d bytes at a first start, the list has %d", first, size)
 	}
 	p.kept()
 	more := func() {
-		n := len(p.disc.Asked())
-		testkit.Eventually(t, "one more watch", func() bool { return len(p.disc.Asked()) > n })
+		n := len(p.disc.ListRequestTargets())
+		testkit.Eventually(t, "one more watch", func() bool { return len(p.disc.ListRequestTargets()) > n })
 	}
 	more()
-	idle := p.disc.Bytes()
+	idle := p.disc.ListBytes()
 	more()
-	if idle = p.disc.Bytes() - idle; idle > 300 {
+	if idle = p.disc.ListBytes() - idle; idle > 300 {
 		t.Errorf("%d bytes for a watch with nothing new", idle)
 	}
-	failed, asked := passed(p.disc.Lose) // the watch that was just seen to begin
+	failed, asked := passed(p.disc.SilenceWatches) // the watch that was just seen to begin
 	if failed > 1000 {
 		t.Errorf("%d bytes for a failed watch: asked %q", failed, asked)
 	}
-	p.disc.Set(append([]platform.Entry{at("changed", p.ep, n, "Ready")}, entriesOf(t, p)...)...)
+	p.disc.SetList(append([]platform.Entry{at("changed", p.ep, n, "Ready")}, entriesOf(t, p)...)...)
 	p.listed("changed")
 	more()
-	later, asked := passed(p.disc.Lose)
+	later, asked := passed(p.disc.SilenceWatches)
 	if later > 1500 || later <= failed {
 		t.Errorf("%d bytes for a failed watch with a last change to be told again: asked %q", later, asked)
 	}
@@ -431,7 +431,7 @@
 func entriesOf(t *testing.T, p *place) []platform.Entry {
 	t.Helper()
 	var list struct{ Hosts []platform.Entry }
-	if err := json.Unmarshal(p.disc.List(), &list); err != nil {
+	if err := json.Unmarshal(p.disc.ListJSON(), &list); err != nil {
 		t.Fatal(err)
 	}
 	return list.Hosts
--- a/cmd/eiderhaven/main_test.go
+++ b/cmd/eiderhaven/main_test.go
@@ -62,7 +62,7 @@
 func placeAt(t testing.TB, disc *platform.Discovery) *place {
 	t.Helper()
 	p := &place{t: t, disc: disc, state: t.TempDir(), config: filepath.Join(t.TempDir(), "config.json")}
-	p.listen = testkit.Address()
+	p.listen = testkit.UniqueAddress()
 	text, err := os.ReadFile("../../example/config.json")
 	if err == nil {
 		err = os.WriteFile(p.config, text, 0o600)
@@ -71,7 +71,7 @@
 		t.Fatal(err)
 	}
 	p.configure(func(c map[string]any) {
-		c["listen"], c["discovery"], c["known"] = p.listen, disc.Addr(), json.RawMessage(disc.List())
+		c["listen"], c["discovery"], c["known"] = p.listen, disc.Addr(), json.RawMessage(disc.ListJSON())
 	})
 	return p
 }
@@ -204,7 +204,7 @@
 }
 
 func (p *place) calls(id string) int {
-	return strings.Count(" "+strings.Join(p.ep.Received(), "  ")+" ", " "+id+" ")
+	return strings.Count(" "+strings.Join(p.ep.ReceivedIDs(), "  ")+" ", " "+id+" ")
 }
 
 func TestDelivers(t *testing.T) {
@@ -401,8 +401,8 @@
 				}
 			})
 		}
-		want := len(p.ep.Received()) + round*4 // a different moment each time
-		testkit.Eventually(t, "under way", func() bool { return len(p.ep.Received()) >= want })
+		want := len(p.ep.ReceivedIDs()) + round*4 // a different moment each time
+		testkit.Eventually(t, "under way", func() bool { return len(p.ep.ReceivedIDs()) >= want })
 		proc.Process.Kill()
 		proc.exit()
 		wg.Wait()
@@ -419,7 +419,7 @@
 	if len(taken) < 10 {
 		t.Errorf("only %d messages taken on: the test shows little", len(taken))
 	}
-	for _, id := range p.ep.Received() {
+	for _, id := range p.ep.ReceivedIDs() {
 		if n := p.calls(id); strings.HasPrefix(id, "payment") && n > 1 {
 			t.Errorf("%s arrived %d times", id, n)
 		}
@@ -566,18 +566,18 @@
 	defer mute.Close()
 	p.configure(func(c map[string]any) { c["discovery"] = mute.Addr() })
 	proc.Process.Signal(syscall.SIGHUP)
-	testkit.Eventually(t, "asks where nobody answers", func() bool { return mute.Open() > 0 })
+	testkit.Eventually(t, "asks where nobody answers", func() bool { return mute.OpenConnections() > 0 })
 	p.handIn("meanwhile", "stock", 16000)
 	testkit.Eventually(t, "delivered by the old list", func() bool { return p.calls("meanwhile") == 1 })
 	p.configure(func(c map[string]any) { c["discovery"] = second.Addr() })
 	proc.Process.Signal(syscall.SIGHUP)
 	proc.Process.Signal(syscall.SIGHUP)
-	testkit.Eventually(t, "gone from the old address", func() bool { return second.Opened() > 0 && p.disc.Open() == 0 })
+	testkit.Eventually(t, "gone from the old address", func() bool { return second.AcceptedConnections() > 0 && p.disc.OpenConnections() == 0 })
 	testkit.Eventually(t, "delivered by the new list", func() bool {
 		p.handIn(fmt.Sprint("after-", time.Now().UnixNano()), "stock", 16000)
-		return len(ep.Received()) > 0
+		return len(ep.ReceivedIDs()) > 0
 	})
-	second.Set() // nobody serves the destination any more
+	second.SetList() // nobody serves the destination any more
 	p.handIn("late", "stock", 300)
 	testkit.Eventually(t, "notice to the new address", func() bool { return strings.Contains(fmt.Sprint(second.Notices()), `"late"`) })
 
@@ -590,7 +590,7 @@
 	testkit.Eventually(t, "draining", func() bool { return strings.Contains(proc.said(), "is=draining") })
 	p.configure(func(c map[string]any) { c["discovery"] = p.disc.Addr() })
 	proc.Process.Signal(syscall.SIGHUP)
-	testkit.Eventually(t, "back at the first address", func() bool { return p.disc.Open() > 0 })
+	testkit.Eventually(t, "back at the first address", func() bool { return p.disc.OpenConnections() > 0 })
 	if code := proc.exit(); code != 0 {
 		t.Errorf("exit code %d\n%s", code, proc.said())
 	}
--- a/cmd/eiderhaven/migration_test.go
+++ b/cmd/eiderhaven/migration_test.go
@@ -181,7 +181,7 @@
 	after(3800*time.Millisecond, func() { p.down = false })
 	after(7*time.Second, func() { p.drained = time.Now() })
 	entries[1].Health = "Terminating"
-	disc.Set(entries...)
+	disc.SetList(entries...)
 	after(11*time.Second, func() {})
 	close(stop)
 	wg.Wait()
--- a/cmd/eiderhaven/size_test.go
+++ b/cmd/eiderhaven/size_test.go
@@ -40,10 +40,10 @@
 		for i := range list {
 			list[i] = platform.Entry{Host: fmt.Sprintf("s-%08x", i), Dial: p.ep.Addr(), Site: "here", Class: "any", Block: i, Health: "Ready", Share: 1}
 		}
-		p.disc.Indent(indent)
-		p.disc.Set(list[:n]...)
+		p.disc.SetIndent(indent)
+		p.disc.SetList(list[:n]...)
 		p.configure(func(c map[string]any) {
-			c["known"] = json.RawMessage(p.disc.List())
+			c["known"] = json.RawMessage(p.disc.ListJSON())
 			c["limits"] = map[string]any{"cores": 1, "memory_mb": megabytes, "sockets": sockets, "disk_mb": 3}
 			c["settings"].(map[string]any)["balancers"] = n
 		})
@@ -57,7 +57,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		p.disc.Set(list...)
+		p.disc.SetList(list...)
 		proc := p.launch()
 		for i := range list {
 			text := strings.Replace(handIn(fmt.Sprint("m", i), "stock", 16000), "dest=7", fmt.Sprint("dest=", i), 1)
@@ -65,7 +65,7 @@
 				t.Fatalf("%s, destination %d: %+v, %v", name, i, r, err)
 			}
 		}
-		testkit.Eventually(t, "delivered", func() bool { return len(p.ep.Received()) >= len(list) })
+		testkit.Eventually(t, "delivered", func() bool { return len(p.ep.ReceivedIDs()) >= len(list) })
 		proc.Process.Signal(syscall.SIGUSR1)
 		testkit.Eventually(t, "counters", func() bool { return strings.Contains(proc.said(), "goroutines=") })
 		status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", proc.Process.Pid))
--- a/cmd/eiderlab/scale_test.go
+++ b/cmd/eiderlab/scale_test.go
@@ -67,7 +67,7 @@
 		if err := cmd.Process.Signal(sig); err != nil {
 			t.Fatal(err)
 		}
-		err := testkit.Next(t, done, name+": end of the program")
+		err := testkit.Receive(t, done, name+": end of the program")
 		var exit *exec.ExitError
 		if sig != syscall.SIGKILL && (!errors.As(err, &exit) || exit.ExitCode() != exitBroken) {
 			t.Errorf("%s: %v, want exit code %d", name, err, exitBroken)
--- a/cmd/knownred/main.go
+++ b/cmd/knownred/main.go
@@ -39,9 +39,9 @@
 	switch {
 	case len(args) == 1 && args[0] == "skip":
 		for _, e := range entries {
-			fmt.Fprintf(os.Stderr, "known red, passed over: %s: %s (issue %d; %s)\n", e.Test, e.Seen, e.Issue, e.Command)
+			fmt.Fprintf(os.Stderr, "known red, passed over: %s: %s (issue %d; %s)\n", e.Test, e.Symptom, e.Issue, e.Command)
 		}
-		fmt.Println(knownred.Pattern(entries))
+		fmt.Println(knownred.SkipPattern(entries))
 		return nil
 	case len(args) == 2 && args[0] == "play":
 		times, err := strconv.Atoi(args[1])
@@ -67,7 +67,7 @@
 	if err != nil || len(entries) == 0 {
 		return nil, err
 	}
-	out, err := exec.Command("go", "test", "-list", knownred.Pattern(entries), "./...").Output()
+	out, err := exec.Command("go", "test", "-list", knownred.SkipPattern(entries), "./...").Output()
 	if err != nil {
 		return nil, fmt.Errorf("listing tests: %w", err)
 	}
@@ -76,7 +76,7 @@
 
 func play(ctx context.Context, entries []knownred.Entry, times int) error {
 	for _, e := range entries {
-		passed, fell, err := knownred.Play(ctx, e, times, io.Discard)
+		passed, fell, err := knownred.Rerun(ctx, e, times, io.Discard)
 		fmt.Printf("%s: %d passed, %d fell (%s)\n", e.Test, passed, fell, e.Command)
 		if err != nil {
 			return err
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -23,10 +23,10 @@
 	dec, enc := simwire.NewDecoder(in), simwire.NewEncoder(out)
 	senders := map[int]*rules.Sender{}
 	for {
-		batch, err := dec.Read()
+		batch, err := dec.ReadBatch()
 		if errors.Is(err, io.EOF) {
-			if len(dec.Unknown) > 0 { // standard error is the adapter's own
-				fmt.Fprintln(os.Stderr, "simhost: fields skipped, by verb:", dec.Unknown)
+			if len(dec.UnknownFields) > 0 { // standard error is the adapter's own
+				fmt.Fprintln(os.Stderr, "simhost: fields skipped, by verb:", dec.UnknownFields)
 			}
 			return nil
 		}
@@ -36,7 +36,7 @@
 		if err := answer(batch, senders, enc); err != nil {
 			return err
 		}
-		if err := enc.End(); err != nil {
+		if err := enc.EndReply(); err != nil {
 			return err
 		}
 	}
@@ -58,7 +58,7 @@
 			events[it.Instance] = []rules.Event{}
 		case senders[it.Instance] == nil:
 			return &simwire.Error{Line: it.Line, Msg: fmt.Sprintf("event for instance %d, which is not running", it.Instance)}
-		case it.Stop:
+		case it.Killed:
 			delete(senders, it.Instance)
 			events[it.Instance] = []rules.Event{}
 		case it.Event != nil:
@@ -72,12 +72,12 @@
 		}
 		actions, fault := step(sender, batch, events[inst])
 		if fault != "" {
-			if err := enc.Die(inst, fault); err != nil {
+			if err := enc.ReportCrash(inst, fault); err != nil {
 				return err
 			}
 			continue
 		}
-		if err := enc.Write(inst, actions); err != nil {
+		if err := enc.WriteActions(inst, actions); err != nil {
 			return err
 		}
 	}
--- a/internal/capacity/daemon_test.go
+++ b/internal/capacity/daemon_test.go
@@ -359,13 +359,13 @@
 				d.start()
 				defer d.kill()
 				time.Sleep(500 * time.Millisecond)
-				before, opened := d.cpu(), ep.Opened()
+				before, opened := d.cpu(), ep.AcceptedConnections()
 				taken, took := d.clients(64, 4*n, float64(n), 60_000, func(i int) int { return i % destinations })
 				if taken < int64(4*n)*9/10 {
 					b.Errorf("%d of %d messages taken on: there was less to do", taken, 4*n)
 				}
 				return map[string]float64{"a: % of a core": (d.cpu() - before).Seconds() / took.Seconds() * 100,
-					"b: connections a message": float64(ep.Opened()-opened) / float64(max(taken, 1)), "c: MB resident": d.megabytes("VmRSS")}
+					"b: connections a message": float64(ep.AcceptedConnections()-opened) / float64(max(taken, 1)), "c: MB resident": d.megabytes("VmRSS")}
 			})
 		})
 	}
--- a/internal/capacity/parts_test.go
+++ b/internal/capacity/parts_test.go
@@ -159,7 +159,7 @@
 	nc = counted{nc, d}
 	br := bufio.NewReader(nc)
 	for {
-		req, body, err := platform.Read(br)
+		req, body, err := platform.ReadRequest(br)
 		if err != nil {
 			return
 		}
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -192,7 +192,7 @@
 	w.ends.onStart = func(*Call) { atStart = w.owed() }
 	w.start()
 	w.take(msg("a", "stock", 1))
-	c := testkit.Next(t, w.ends.started, "call")
+	c := testkit.Receive(t, w.ends.started, "call")
 	if c.To.Addr != "127.0.0.1:1001" || len(c.Items) != 1 || c.Items[0].ID != "a" {
 		t.Errorf("call: %+v", c)
 	}
@@ -235,14 +235,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := begin(t, nil)
 		w.take(msg("p", "payment", 1))
-		w.finish(testkit.Next(t, w.ends.started, "call"), rules.Reset) // it may have run, and must not be sent again
-		if n := testkit.Next(t, w.plat.told, "notice"); n.ID != "p" || !n.Dead {
+		w.finish(testkit.Receive(t, w.ends.started, "call"), rules.Reset) // it may have run, and must not be sent again
+		if n := testkit.Receive(t, w.plat.told, "notice"); n.ID != "p" || !n.Dead {
 			t.Errorf("notice: %+v, want p dead", n)
 		}
 		late := msg("s", "stock", 1)
 		late.Deadline = time.Now().Add(100 * time.Millisecond)
 		w.take(late)
-		if n := testkit.Next(t, w.plat.told, "notice"); n.ID != "s" || n.Dead || n.RetryAfter <= 0 {
+		if n := testkit.Receive(t, w.plat.told, "notice"); n.ID != "s" || n.Dead || n.RetryAfter <= 0 {
 			t.Errorf("notice: %+v, want s bounced with a wait", n)
 		}
 		c := w.settled("both over", func(c Counts) bool { return c.Held == 0 })
@@ -263,8 +263,8 @@
 func TestNoticesEndWhenAccepted(t *testing.T) {
 	w := begin(t, nil)
 	w.take(msg("p", "payment", 1))
-	w.finish(testkit.Next(t, w.ends.started, "call"), rules.Reset)
-	testkit.Next(t, w.plat.told, "notice")
+	w.finish(testkit.Receive(t, w.ends.started, "call"), rules.Reset)
+	testkit.Receive(t, w.plat.told, "notice")
 	w.NoticesAccepted([]string{"p"})
 	w.settled("noticed", func(c Counts) bool { return c.NoticesAccepted == 1 })
 	w.end()
@@ -307,7 +307,7 @@
 	w := newWorld(t, dir, nil).start()
 	told := map[string]bool{}
 	for range 4 {
-		n := testkit.Next(t, w.plat.told, "notice")
+		n := testkit.Receive(t, w.plat.told, "notice")
 		told[n.ID] = n.Dead
 	}
 	if dead, ok := told["once-ran"]; !ok || !dead {
@@ -324,7 +324,7 @@
 	}
 	sent := map[string]bool{}
 	for range 2 {
-		c := testkit.Next(t, w.ends.started, "call")
+		c := testkit.Receive(t, w.ends.started, "call")
 		sent[c.Items[0].ID] = true
 		w.finish(c, rules.OK)
 	}
@@ -341,12 +341,12 @@
 func TestStopKeepsWhatIsHeld(t *testing.T) {
 	w := begin(t, func(s *rules.Settings) { s.Slots = 1 })
 	w.take(msg("a", "stock", 1))
-	testkit.Next(t, w.ends.started, "call")
+	testkit.Receive(t, w.ends.started, "call")
 	w.take(msg("b", "stock", 1))
 	answers := make(chan Answer, 1)
 	go func() { answers <- w.Submit(msg("c", "stock", 1)) }()
 	w.end()
-	a := testkit.Next(t, answers, "answer")
+	a := testkit.Receive(t, answers, "answer")
 	if n := len(w.ends.started); n != 0 {
 		t.Errorf("%d calls started at the end", n)
 	}
@@ -371,9 +371,9 @@
 		w := begin(t, nil)
 		w.ends.onRecall = func(*Call) bool { return !written }
 		w.take(msg("a", "payment", 1))
-		c := testkit.Next(t, w.ends.started, "call")
+		c := testkit.Receive(t, w.ends.started, "call")
 		w.end()
-		if got := testkit.Next(t, w.ends.recalled, "call back"); got != c {
+		if got := testkit.Receive(t, w.ends.recalled, "call back"); got != c {
 			t.Errorf("written %v: called back %+v, want %+v", written, got, c)
 		}
 		if owed := w.owed(); len(owed) != 1 || owed[0].MayHaveRun != written {
@@ -385,7 +385,7 @@
 func TestWithdrawn(t *testing.T) {
 	w := begin(t, nil)
 	w.take(msg("a", "stock", 1))
-	c := testkit.Next(t, w.ends.started, "call")
+	c := testkit.Receive(t, w.ends.started, "call")
 	w.Withdraw("a")
 	w.Withdraw("a")
 	w.Withdraw("never heard of")
@@ -434,8 +434,8 @@
 	if n == 100 {
 		t.Fatal("6 MB taken on in a folder of 2")
 	}
-	w.finish(testkit.Next(t, w.ends.started, "call"), rules.OK)
-	testkit.Next(t, w.ends.started, "call of the next")
+	w.finish(testkit.Receive(t, w.ends.started, "call"), rules.OK)
+	testkit.Receive(t, w.ends.started, "call of the next")
 	w.addUp(w.Counts())
 }
 
@@ -467,11 +467,11 @@
 			m := msg("a", "payment", 1)
 			m.Deadline = time.Now().Add(150 * time.Millisecond)
 			w.take(m)
-			c := testkit.Next(t, w.ends.started, "call")
+			c := testkit.Receive(t, w.ends.started, "call")
 			if c.Timeout <= 0 || c.Timeout > 150*time.Millisecond {
 				t.Errorf("the call waits %v, want the time that is left", c.Timeout)
 			}
-			if got := testkit.Next(t, w.ends.cancelled, "end of the call"); got != c {
+			if got := testkit.Receive(t, w.ends.cancelled, "end of the call"); got != c {
 				t.Errorf("another call was given up")
 			}
 			w.Finish(c, Result{Written: written, Items: []ItemResult{{Outcome: rules.Cancelled}}})
@@ -491,8 +491,8 @@
 		m := msg("a", "payment", 1)
 		m.Deadline = time.Now().Add(100 * time.Millisecond)
 		w.take(m)
-		c := testkit.Next(t, w.ends.started, "call")
-		testkit.Next(t, w.ends.cancelled, "end of the call")
+		c := testkit.Receive(t, w.ends.started, "call")
+		testkit.Receive(t, w.ends.cancelled, "end of the call")
 		w.finish(c, rules.OK)
 		w.settled("told", func(c Counts) bool { return c.Outcomes[rules.OK] == 1 && c.InFlight == 0 })
 	})
@@ -509,7 +509,7 @@
 		w.Exchange.take(m, make(chan Answer, 1))
 		testkit.Eventually(t, "half its time", func() bool { return time.Until(m.Deadline) < 50*time.Millisecond })
 		w.step()
-		c := testkit.Next(t, w.ends.started, "call")
+		c := testkit.Receive(t, w.ends.started, "call")
 		testkit.Eventually(t, "all of it", func() bool { return time.Until(m.Deadline) < 0 })
 		w.step()
 		w.finished(c.flight, Result{Written: true, Items: []ItemResult{{Outcome: rules.Cancelled}}})
@@ -531,7 +531,7 @@
 			m := msg("a", "payment", 1)
 			w.Exchange.take(m, make(chan Answer, 1))
 			w.step()
-			c := testkit.Next(t, w.ends.started, "call")
+			c := testkit.Receive(t, w.ends.started, "call")
 			m.Deadline = time.Now().Add(left)
 			w.finished(c.flight, Result{Written: true, Items: []ItemResult{{Outcome: rules.OK}}})
 			w.step()
@@ -551,7 +551,7 @@
 func TestOverElsewhere(t *testing.T) {
 	w := begin(t, nil)
 	w.take(msg("a", "stock", 1))
-	c := testkit.Next(t, w.ends.started, "call")
+	c := testkit.Receive(t, w.ends.started, "call")
 	w.Finish(c, Result{Written: true, Items: []ItemResult{{Outcome: rules.NotSent, Finished: true}}})
 	got := w.settled("over", func(c Counts) bool { return c.Held == 0 })
 	if got.FinishedElsewhere != 1 || len(w.plat.told) != 0 {
@@ -559,9 +559,9 @@
 	}
 	w.take(msg("b", "stock", 1))
 	for range 4 {
-		w.finish(testkit.Next(t, w.ends.started, "call"), rules.NotSent)
+		w.finish(testkit.Receive(t, w.ends.started, "call"), rules.NotSent)
 	}
-	if n := testkit.Next(t, w.plat.told, "notice"); n.ID != "b" {
+	if n := testkit.Receive(t, w.plat.told, "notice"); n.ID != "b" {
 		t.Errorf("notice: %+v", n)
 	}
 }
@@ -574,7 +574,7 @@
 		m := msg("a", "stock", 1)
 		m.Deadline = time.Now().Add(200 * time.Millisecond)
 		w.take(m)
-		if n := testkit.Next(t, w.plat.told, "notice"); n.ID != "a" {
+		if n := testkit.Receive(t, w.plat.told, "notice"); n.ID != "a" {
 			t.Errorf("notice: %+v", n)
 		}
 		if n := len(w.ends.started); n != 0 {
@@ -594,12 +594,12 @@
 	} {
 		w := begin(t, nil)
 		w.take(msg("a", "stock", 1))
-		c := testkit.Next(t, w.ends.started, "call")
+		c := testkit.Receive(t, w.ends.started, "call")
 		w.ApplyListing(list)
-		if got := testkit.Next(t, w.ends.recalled, "call back"); got != c {
+		if got := testkit.Receive(t, w.ends.recalled, "call back"); got != c {
 			t.Errorf("%s: called back %+v, want %+v", name, got, c)
 		}
-		if got := testkit.Next(t, w.ends.started, "call"); got.To != other.Peer {
+		if got := testkit.Receive(t, w.ends.started, "call"); got.To != other.Peer {
 			t.Errorf("%s: went on to %+v", name, got.To)
 		}
 	}
@@ -614,12 +614,12 @@
 		t.Errorf("verdict %v for a destination of which only a removal was told", a.Verdict)
 	}
 	w.take(msg("new", "stock", 9))
-	if c := testkit.Next(t, w.ends.started, "call"); c.To.Name != "s-9" {
+	if c := testkit.Receive(t, w.ends.started, "call"); c.To.Name != "s-9" {
 		t.Errorf("went to %v", c.To)
 	}
 	for i := range 5 {
 		w.take(msg(fmt.Sprint("m", i), "stock", 1))
-		c := testkit.Next(t, w.ends.started, "call")
+		c := testkit.Receive(t, w.ends.started, "call")
 		if c.To.Name != "s-1" {
 			t.Errorf("went to %v", c.To)
 		}
@@ -627,7 +627,7 @@
 	}
 	w.ApplyListing(Listing{Hosts: []Host{{Peer: Peer{Name: "s-9"}, Gone: true}, {Peer: Peer{Name: "s-9"}, Gone: true}}}) // told twice
 	w.take(msg("after", "stock", 1))
-	testkit.Next(t, w.ends.started, "call")
+	testkit.Receive(t, w.ends.started, "call")
 }
 
 // Room for the list of endpoints is the ledger's to grant; an exchange that has ended grants none, and nobody waits for it.
@@ -671,12 +671,12 @@
 			}
 		}
 		w.start()
-		c := testkit.Next(t, w.ends.started, "repeat")
+		c := testkit.Receive(t, w.ends.started, "repeat")
 		if late := c.WriteBy.Sub(earlier); late > window || late < window-100*time.Millisecond {
 			t.Errorf("the repeat leaves up to %v after the first attempt, the window is %v", late, window)
 		}
 		w.take(msg("new", "stock", 1))
-		if c := testkit.Next(t, w.ends.started, "call"); !c.WriteBy.IsZero() {
+		if c := testkit.Receive(t, w.ends.started, "call"); !c.WriteBy.IsZero() {
 			t.Errorf("a first attempt has to leave by %v", c.WriteBy)
 		}
 	})
@@ -703,7 +703,7 @@
 		}
 		time.Sleep(200 * time.Millisecond) // the rest of a large ledger, on a busy machine
 		w.step()
-		c := testkit.Next(t, w.ends.started, "repeat")
+		c := testkit.Receive(t, w.ends.started, "repeat")
 		if late := c.WriteBy.Sub(earlier); late > window || late < window-100*time.Millisecond {
 			t.Errorf("the repeat leaves up to %v after the first attempt, the window is %v", late, window)
 		}
@@ -789,10 +789,10 @@
 		w.Recover()
 		w.Exchange.take(msg("a", "payment", 1), make(chan Answer, 1))
 		w.step()
-		c := testkit.Next(t, w.ends.started, "call")
+		c := testkit.Receive(t, w.ends.started, "call")
 		w.later(14*time.Second + time.Millisecond)
 		w.step()
-		if n := testkit.Next(t, w.plat.told, "notice"); n.ID != "a" {
+		if n := testkit.Receive(t, w.plat.told, "notice"); n.ID != "a" {
 			t.Errorf("notice %+v", n)
 		}
 		if len(w.ends.cancelled) != 1 || <-w.ends.cancelled != c {
@@ -806,7 +806,7 @@
 func TestWaitWithAnyOutcome(t *testing.T) {
 	w := begin(t, nil)
 	w.take(msg("a", "stock", 1))
-	c := testkit.Next(t, w.ends.started, "call")
+	c := testkit.Receive(t, w.ends.started, "call")
 	w.Finish(c, Result{Written: true, Items: []ItemResult{{Outcome: rules.OK, RetryAfter: time.Hour}}})
 	w.settled("delivered", func(c Counts) bool { return c.Delivered == 1 })
 	if a := w.Submit(msg("b", "stock", 1)); a.Verdict != Refused || a.RetryAfter != 3*time.Second {
@@ -899,7 +899,7 @@
 	w := begin(t, func(s *rules.Settings) { s.MaxAttempts = 1 })
 	for id, o := range map[string]rules.Outcome{"delivered": rules.OK, "failed": rules.Errored} {
 		w.take(msg(id, "payment", 1))
-		w.finish(testkit.Next(t, w.ends.started, "call"), o)
+		w.finish(testkit.Receive(t, w.ends.started, "call"), o)
 		w.settled("ended", func(c Counts) bool { return c.Held == 0 })
 		if a := w.Submit(msg(id, "payment", 1)); a.Verdict != Duplicate {
 			t.Errorf("a %s message handed in again: verdict %v", id, a.Verdict)
--- a/internal/exchange/kill_test.go
+++ b/internal/exchange/kill_test.go
@@ -67,7 +67,7 @@
 		}
 	}
 	for range 5 { // calls end, in the order in which they went out
-		c, o := testkit.Next(t, w.ends.started, "call"), rules.OK
+		c, o := testkit.Receive(t, w.ends.started, "call"), rules.OK
 		if c.Items[0].ID == "m2" || c.Items[0].ID == "m4" { // a payment, and one that goes out again
 			o = rules.Reset
 		}
--- a/internal/intake/endings_test.go
+++ b/internal/intake/endings_test.go
@@ -49,7 +49,7 @@
 		if r := p.answer(); r.Status != c.status || !r.Close {
 			t.Errorf("%s: %+v", name, r)
 		}
-		if err := testkit.Next(t, written, "end of the writing"); err != nil {
+		if err := testkit.Receive(t, written, "end of the writing"); err != nil {
 			t.Errorf("%s: what lies behind the request: %v", name, err)
 		}
 		if rest := p.end(); rest != "" {
@@ -261,7 +261,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		testkit.NoDelay(t, c.nc)
+		testkit.RequireNoDelay(t, c.nc)
 	}
 	if len(s.conns) != 1 {
 		t.Errorf("%d connections, want one", len(s.conns))
--- a/internal/knownred/knownred.go
+++ b/internal/knownred/knownred.go
@@ -19,7 +19,7 @@
 	Line    int
 	Test    string // its name, a top-level test of this module
 	Command string // plays it, with its seed, from the root of the repository
-	Seen    string
+	Symptom string
 	Issue   int
 }
 
@@ -87,7 +87,7 @@
 	if err != nil {
 		return fault(fmt.Sprintf("%q: the number is too large", parts[3]))
 	}
-	return Entry{Line: n, Test: parts[0], Command: parts[1], Seen: parts[2], Issue: at}, nil
+	return Entry{Line: n, Test: parts[0], Command: parts[1], Symptom: parts[2], Issue: at}, nil
 }
 
 // Check tells which entries name a test that there is not, or one that an earlier entry names.
@@ -111,7 +111,7 @@
 }
 
 // Pattern matches the names of the listed tests and no other, for go test's -skip. It is empty for an empty list.
-func Pattern(entries []Entry) string {
+func SkipPattern(entries []Entry) string {
 	var names []string
 	for _, e := range entries {
 		names = append(names, "^"+e.Test+"$")
@@ -120,7 +120,7 @@
 }
 
 // Play runs an entry's command so many times and counts how often it passed and fell. What it prints goes to out.
-func Play(ctx context.Context, e Entry, times int, out io.Writer) (passed, fell int, err error) {
+func Rerun(ctx context.Context, e Entry, times int, out io.Writer) (passed, fell int, err error) {
 	for range times {
 		command := exec.CommandContext(ctx, "sh", "-c", e.Command)
 		command.Stdout, command.Stderr = out, out
--- a/internal/knownred/knownred_test.go
+++ b/internal/knownred/knownred_test.go
@@ -17,10 +17,10 @@
 	if len(entries) != 2 || entries[0] != want[0] || entries[1] != want[1] {
 		t.Errorf("%+v, want %+v", entries, want)
 	}
-	if got := Pattern(entries); got != "^TestA$|^TestB$" {
+	if got := SkipPattern(entries); got != "^TestA$|^TestB$" {
 		t.Errorf("pattern %q", got)
 	}
-	if got := Pattern(nil); got != "" {
+	if got := SkipPattern(nil); got != "" {
 		t.Errorf("pattern of an empty list: %q", got)
 	}
 }
@@ -60,14 +60,14 @@
 		command      string
 		passed, fell int
 	}{{"true", 3, 0}, {"exit 2", 0, 3}} {
-		passed, fell, err := Play(context.Background(), Entry{Command: c.command}, 3, io.Discard)
+		passed, fell, err := Rerun(context.Background(), Entry{Command: c.command}, 3, io.Discard)
 		if err != nil || passed != c.passed || fell != c.fell {
 			t.Errorf("%s: %d passed, %d fell, %v", c.command, passed, fell, err)
 		}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if _, _, err := Play(ctx, Entry{Command: "true"}, 3, io.Discard); !errors.Is(err, context.Canceled) {
+	if _, _, err := Rerun(ctx, Entry{Command: "true"}, 3, io.Discard); !errors.Is(err, context.Canceled) {
 		t.Errorf("interrupted: %v", err)
 	}
 }
--- a/internal/outbound/outbound_test.go
+++ b/internal/outbound/outbound_test.go
@@ -61,7 +61,7 @@
 func (s *side) outcome(addr string) (exchange.ItemResult, bool) {
 	s.t.Helper()
 	s.Start(callTo(addr, "a"))
-	d := testkit.Next(s.t, s.done, "result")
+	d := testkit.Receive(s.t, s.done, "result")
 	if len(d.Items) != 1 {
 		s.t.Fatalf("%d results for one message", len(d.Items))
 	}
@@ -133,16 +133,16 @@
 		if c.kept {
 			begun, up := s.holdDials()
 			h := s.Start(callTo(srv.Addr(), "given up"))
-			testkit.Next(t, begun, "connect")
+			testkit.Receive(t, begun, "connect")
 			h.Cancel()
 			up <- true
-			testkit.Next(t, s.done, "result of the call given up")
+			testkit.Receive(t, s.done, "result of the call given up")
 			testkit.Eventually(t, "kept", func() bool { return s.idleAt(srv.Addr()) == 1 })
 		}
 		var got done
 		for range c.answers {
 			s.Start(callTo(srv.Addr(), c.ids...))
-			got = testkit.Next(t, s.done, "result")
+			got = testkit.Receive(t, s.done, "result")
 			if got.Items[0].Outcome == rules.OK {
 				testkit.Eventually(t, "idle", func() bool { return s.idleAt(srv.Addr()) == 1 })
 			}
@@ -199,13 +199,13 @@
 	defer ep.Close()
 	s := newSide(t, nil)
 	s.Start(callTo(ep.Addr(), "a", "b", "c"))
-	d := testkit.Next(t, s.done, "result")
+	d := testkit.Receive(t, s.done, "result")
 	for i, want := range []rules.Outcome{rules.OK, rules.Errored, rules.OK} {
 		if d.Items[i].Outcome != want {
 			t.Errorf("message %d: outcome %v, want %v", i, d.Items[i].Outcome, want)
 		}
 	}
-	if got := fmt.Sprint(ep.Received()); got != "[a b c]" {
+	if got := fmt.Sprint(ep.ReceivedIDs()); got != "[a b c]" {
 		t.Errorf("received %s", got)
 	}
 }
@@ -234,7 +234,7 @@
 		})
 		s := newSide(t, nil)
 		s.Start(callTo(srv.Addr(), "a", "b", "c", "d", "e", "f"))
-		d := testkit.Next(t, s.done, "result")
+		d := testkit.Receive(t, s.done, "result")
 		for i, want := range c.want {
 			if d.Items[i].Outcome != want || d.Items[i].RetryAfter != 70*time.Millisecond || d.Items[i].Finished != (name == "each its own" && i == 3) {
 				t.Errorf("%s, message %d: got %+v, want outcome %v", name, i, d.Items[i], want)
@@ -262,7 +262,7 @@
 		}()
 		s := newSide(t, nil)
 		s.Start(callTo(ln.Addr().String(), strings.Fields(ids)...))
-		if got := testkit.Next(t, s.done, "result").Items[0].Outcome; got != want {
+		if got := testkit.Receive(t, s.done, "result").Items[0].Outcome; got != want {
 			t.Errorf("messages %s: outcome %v, want %v", ids, got, want)
 		}
 	}
@@ -340,7 +340,7 @@
 			s := newSide(t, nil)
 			for _, ids := range [][]string{{"a"}, {"a", "b"}} {
 				s.Start(callTo(srv.Addr(), ids...))
-				d := testkit.Next(t, s.done, "result")
+				d := testkit.Receive(t, s.done, "result")
 				want := exchange.ItemResult{Outcome: rules.Reset, RetryAfter: c.wait}
 				if len(ids) == 1 {
 					want.Outcome = c.one
@@ -349,7 +349,7 @@
 					t.Errorf("%d messages: got %+v, written %v, want %+v", len(ids), d.Items[0], d.Written, want)
 				}
 			}
-			if n := srv.Opened(); n != 2 {
+			if n := srv.AcceptedConnections(); n != 2 {
 				t.Errorf("%d connections for two spoilt answers, want 2", n)
 			}
 		})
@@ -390,7 +390,7 @@
 	c := &conn{nc: answerWins{near}, br: bufio.NewReader(near)}
 	s.do(c, j)
 	want := exchange.ItemResult{Outcome: rules.Refused, RetryAfter: 700 * time.Millisecond}
-	if d := testkit.Next(t, s.done, "result"); d.Items[0] != want {
+	if d := testkit.Receive(t, s.done, "result"); d.Items[0] != want {
 		t.Errorf("got %+v, want %+v", d.Items[0], want)
 	}
 }
@@ -417,7 +417,7 @@
 		}
 		testkit.Eventually(t, "idle", func() bool { return s.idleAt(srv.Addr()) == 1 })
 	}
-	if n := srv.Opened(); n != 1 {
+	if n := srv.AcceptedConnections(); n != 1 {
 		t.Errorf("%d connections, want 1", n)
 	}
 }
@@ -510,7 +510,7 @@
 	c := callTo(ln.Addr().String(), "a")
 	c.Items[0].Body = make([]byte, 64<<20) // more than the kernel buffers
 	s.Start(c)
-	if d := testkit.Next(t, s.done, "result"); d.Written || d.Items[0].Outcome != rules.ConnectError {
+	if d := testkit.Receive(t, s.done, "result"); d.Written || d.Items[0].Outcome != rules.ConnectError {
 		t.Errorf("got %+v", d.Result)
 	}
 }
@@ -533,7 +533,7 @@
 		}
 		testkit.Eventually(t, "idle", func() bool { return s.idleAt(srv.Addr()) == 1 })
 	}
-	if n := srv.Opened(); n != 1 {
+	if n := srv.AcceptedConnections(); n != 1 {
 		t.Errorf("%d connections for five calls, want 1", n)
 	}
 }
@@ -546,7 +546,7 @@
 	testkit.Eventually(t, "idle", func() bool { return s.idleAt(srv.Addr()) == 1 })
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	testkit.NoDelay(t, s.idle[peer(srv.Addr())][0].nc)
+	testkit.RequireNoDelay(t, s.idle[peer(srv.Addr())][0].nc)
 }
 
 // One call at a time travels on a connection.
@@ -560,10 +560,10 @@
 	for range 3 {
 		s.Start(callTo(srv.Addr(), "a"))
 	}
-	testkit.Eventually(t, "three connections", func() bool { return srv.Opened() == 3 })
+	testkit.Eventually(t, "three connections", func() bool { return srv.AcceptedConnections() == 3 })
 	close(release)
 	for range 3 {
-		if d := testkit.Next(t, s.done, "result"); d.Items[0].Outcome != rules.OK {
+		if d := testkit.Receive(t, s.done, "result"); d.Items[0].Outcome != rules.OK {
 			t.Errorf("got %+v", d.Result)
 		}
 	}
@@ -579,12 +579,12 @@
 	s := newSide(t, nil)
 	s.outcome(ep.Addr())
 	testkit.Eventually(t, "idle", func() bool { return s.idleAt(ep.Addr()) == 1 })
-	ep.Break()
+	ep.CloseConnections()
 	testkit.Eventually(t, "seen closed", func() bool { return s.idleAt(ep.Addr()) == 0 })
 	if got, _ := s.outcome(ep.Addr()); got.Outcome != rules.OK {
 		t.Errorf("outcome %v", got.Outcome)
 	}
-	if n := len(ep.Received()); n != 2 {
+	if n := len(ep.ReceivedIDs()); n != 2 {
 		t.Errorf("%d calls arrived, want 2", n)
 	}
 }
@@ -598,7 +598,7 @@
 	for range 2 {
 		s.outcome(srv.Addr())
 	}
-	if n := srv.Opened(); n != 2 {
+	if n := srv.AcceptedConnections(); n != 2 {
 		t.Errorf("%d connections, want 2", n)
 	}
 }
@@ -608,7 +608,7 @@
 	s := newSide(t, func(c *Config) { c.KeepAlive = 200 * time.Millisecond })
 	s.outcome(srv.Addr())
 	testkit.Eventually(t, "idle", func() bool { return s.idleAt(srv.Addr()) == 1 })
-	testkit.Eventually(t, "closed", func() bool { return s.idleAt(srv.Addr()) == 0 && srv.Open() == 0 })
+	testkit.Eventually(t, "closed", func() bool { return s.idleAt(srv.Addr()) == 0 && srv.OpenConnections() == 0 })
 }
 
 func TestCloseIdle(t *testing.T) {
@@ -621,7 +621,7 @@
 		t.Errorf("closing another address left %d idle", n)
 	}
 	s.CloseIdle(peer(srv.Addr()))
-	testkit.Eventually(t, "closed", func() bool { return srv.Open() == 0 })
+	testkit.Eventually(t, "closed", func() bool { return srv.OpenConnections() == 0 })
 }
 
 // A new endpoint at the address of one that has gone is another peer: it gets no connection that was opened to the old
@@ -639,16 +639,16 @@
 		c := callTo(srv.Addr(), "a")
 		c.To = to
 		s.Start(c)
-		if d := testkit.Next(t, s.done, "result"); d.Items[0].Outcome != rules.OK {
+		if d := testkit.Receive(t, s.done, "result"); d.Items[0].Outcome != rules.OK {
 			t.Errorf("%s: %+v", to.Name, d.Result)
 		}
 		testkit.Eventually(t, "idle", func() bool { return idle(to) == 1 })
 	}
-	if n := srv.Opened(); n != 2 {
+	if n := srv.AcceptedConnections(); n != 2 {
 		t.Errorf("%d connections, want one for each endpoint", n)
 	}
 	s.CloseIdle(old)
-	testkit.Eventually(t, "one closed", func() bool { return srv.Open() == 1 })
+	testkit.Eventually(t, "one closed", func() bool { return srv.OpenConnections() == 1 })
 	if idle(fresh) != 1 || idle(old) != 0 {
 		t.Errorf("%d idle at the new endpoint, %d at the old one", idle(fresh), idle(old))
 	}
@@ -673,11 +673,11 @@
 	testkit.Eventually(t, "within the cap", func() bool {
 		open := 0
 		for _, srv := range servers {
-			open += srv.Open()
+			open += srv.OpenConnections()
 		}
 		return open <= 2
 	})
-	if servers[3].Open() != 1 {
+	if servers[3].OpenConnections() != 1 {
 		t.Error("the connection used last was closed")
 	}
 }
@@ -717,13 +717,13 @@
 		s.reset.Store(time.Now().UnixMilli())
 		for range answers {
 			s.Start(callTo(srv.Addr(), "a"))
-			if d := testkit.Next(t, s.done, "result"); d.Items[0].Outcome != rules.OK {
+			if d := testkit.Receive(t, s.done, "result"); d.Items[0].Outcome != rules.OK {
 				t.Errorf("first call: %+v", d.Result)
 			}
 			testkit.Eventually(t, "idle", func() bool { return s.idleAt(srv.Addr()) == 1 })
 		}
 		s.Start(callTo(srv.Addr(), "b"))
-		if d := testkit.Next(t, s.done, "result"); d.Written || d.Items[0].Outcome != rules.ConnectError {
+		if d := testkit.Receive(t, s.done, "result"); d.Written || d.Items[0].Outcome != rules.ConnectError {
 			t.Errorf("after %d answers: %+v", answers, d.Result)
 		}
 	}
@@ -736,7 +736,7 @@
 	s.moment = 200 * time.Millisecond
 	for i := range 2 {
 		s.Start(callTo(srv.Addr(), "a"))
-		if d := testkit.Next(t, s.done, "result"); d.Written != (i == 0) {
+		if d := testkit.Receive(t, s.done, "result"); d.Written != (i == 0) {
 			t.Errorf("call %d: %+v", i, d.Result)
 		}
 	}
@@ -753,12 +753,12 @@
 	defer close(release)
 	s := newSide(t, nil)
 	h := s.Start(callTo(srv.Addr(), "a"))
-	testkit.Next(t, got, "call")
+	testkit.Receive(t, got, "call")
 	if h.Recall() {
 		t.Error("called back after its last byte")
 	}
 	h.Cancel()
-	if d := testkit.Next(t, s.done, "result"); !d.Written || d.Items[0].Outcome != rules.Cancelled {
+	if d := testkit.Receive(t, s.done, "result"); !d.Written || d.Items[0].Outcome != rules.Cancelled {
 		t.Errorf("got %+v", d.Result)
 	}
 	if n := s.idleAt(srv.Addr()); n != 0 {
@@ -790,12 +790,12 @@
 			t.Error("a connection for a call given up")
 		}
 		for range 2 {
-			if d := testkit.Next(t, s.done, "result"); d.Written || d.Items[0].Outcome != rules.Cancelled {
+			if d := testkit.Receive(t, s.done, "result"); d.Written || d.Items[0].Outcome != rules.Cancelled {
 				t.Errorf("got %+v", d.Result)
 			}
 		}
 	}
-	if n := len(ep.Received()); n != 0 {
+	if n := len(ep.ReceivedIDs()); n != 0 {
 		t.Errorf("%d calls arrived", n)
 	}
 }
@@ -830,7 +830,7 @@
 		if c.idle {
 			up <- true
 			s.outcome(ep.Addr())
-			testkit.Next(t, begun, "connect")
+			testkit.Receive(t, begun, "connect")
 			testkit.Eventually(t, "idle", func() bool { return s.idleAt(ep.Addr()) == 1 })
 			s.mu.Lock()
 			s.idle[peer(ep.Addr())][0].since = time.Time{} // long past its time
@@ -846,7 +846,7 @@
 			call.WriteBy, want = time.Now().Add(50*time.Millisecond), exchange.ItemResult{Outcome: rules.NotSent, Recalled: true}
 		}
 		h := s.Start(call)
-		testkit.Next(t, begun, "connect")
+		testkit.Receive(t, begun, "connect")
 		if c.wary {
 			up <- true
 			testkit.Eventually(t, "connected", func() bool { j := h.(*job); j.mu.Lock(); defer j.mu.Unlock(); return j.nc != nil })
@@ -857,13 +857,13 @@
 			t.Errorf("%s: not called back", name)
 		}
 		up <- true
-		if d := testkit.Next(t, s.done, "result"); d.Written || d.Items[0] != want {
+		if d := testkit.Receive(t, s.done, "result"); d.Written || d.Items[0] != want {
 			t.Errorf("%s: %+v, want %+v", name, d.Result, want)
 		}
 		s.reset.Store(0)
 		up <- true
-		if got, _ := s.outcome(ep.Addr()); got.Outcome != rules.OK || strings.Contains(fmt.Sprint(ep.Received()), "b") {
-			t.Errorf("%s: received %v, the next call %+v", name, ep.Received(), got)
+		if got, _ := s.outcome(ep.Addr()); got.Outcome != rules.OK || strings.Contains(fmt.Sprint(ep.ReceivedIDs()), "b") {
+			t.Errorf("%s: received %v, the next call %+v", name, ep.ReceivedIDs(), got)
 		}
 	}
 }
--- a/internal/registry/list_test.go
+++ b/internal/registry/list_test.go
@@ -233,14 +233,14 @@
 	}
 	r.MaxListBytes = 8 << 20 // 40,000 entries take 4 MB, 100,000 some 10
 	start(t, func(ctx context.Context) { r.Run(ctx, s) })
-	testkit.Next(t, s.lists, "first list")
-	d.Set(hosts(100_000)...)
+	testkit.Receive(t, s.lists, "first list")
+	d.SetList(hosts(100_000)...)
 	testkit.Eventually(t, "word of the size", func() bool { return strings.Contains(said(), "does not fit") })
 	if len(s.lists) != 0 {
 		t.Error("a list that does not fit was taken")
 	}
-	d.Set(hosts(40_000)...) // 4.5 MB of text
-	if l := testkit.Next(t, s.lists, "a list that fits"); len(l.Hosts) != 40_000 || r.Failed.Load() == 0 {
+	d.SetList(hosts(40_000)...) // 4.5 MB of text
+	if l := testkit.Receive(t, s.lists, "a list that fits"); len(l.Hosts) != 40_000 || r.Failed.Load() == 0 {
 		t.Errorf("%d entries after %d failures", len(l.Hosts), r.Failed.Load())
 	}
 	if n := strings.Count(said(), "is refused; the old one stays"); n != 1 {
@@ -319,14 +319,14 @@
 	text := longList(1, 30_000) // 3.5 MB
 	_, s, r := follow(t, paced(text, 3*leastRate, len(text)), silence, silence, says(list(2, false, entry("a", "Ready"))), silence)
 	begun := time.Now()
-	if l := testkit.Next(t, s.lists, "long list"); len(l.Hosts) != 30_000 || r.Failed.Load() > 0 {
+	if l := testkit.Receive(t, s.lists, "long list"); len(l.Hosts) != 30_000 || r.Failed.Load() > 0 {
 		t.Errorf("%d entries after %d failures", len(l.Hosts), r.Failed.Load())
 	}
 	if took := time.Since(begun); took < leastRest {
 		t.Errorf("it took %v only: the test shows nothing", took)
 	}
 	begun = time.Now()
-	testkit.Next(t, s.lists, "change")
+	testkit.Receive(t, s.lists, "change")
 	if took, most := time.Since(begun), watchWait+watchGrace+leastBegin+3*firstPause+time.Second; took > most { // a second for a busy machine
 		t.Errorf("the change after a silent watch and a lost call was heard after %v, want %v", took, most)
 	}
@@ -334,7 +334,7 @@
 	d, s, _ := follow(t, paced(wideList(1), 100<<20, 3<<20), says(list(1, true)), silence)
 	testkit.Eventually(t, "first call", func() bool { return d.at.Load() == 1 })
 	begun = time.Now()
-	testkit.Next(t, s.lists, "list after the one that fell silent")
+	testkit.Receive(t, s.lists, "list after the one that fell silent")
 	if took := time.Since(begun); took > leastRest+2*time.Second { // of a busy machine
 		t.Errorf("a list that fell silent was given up after %v", took)
 	}
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -124,15 +124,15 @@
 	defer d.Close()
 	r, s := New(NewAddress(d.Addr()), names, quiet), newSink()
 	start(t, func(ctx context.Context) { r.Run(ctx, s) })
-	if l := testkit.Next(t, s.lists, "first list"); !l.Whole || len(l.Hosts) != 1 {
+	if l := testkit.Receive(t, s.lists, "first list"); !l.Whole || len(l.Hosts) != 1 {
 		t.Errorf("first list: %+v", l)
 	}
-	testkit.Next(t, r.FirstList(), "word of the first list")
-	d.Set(platform.Entry{Host: "a", Dial: "127.0.0.1:9000", Block: 3, Health: "Terminating"})
-	if l := testkit.Next(t, s.lists, "change"); len(l.Hosts) != 1 || !l.Hosts[0].Draining {
+	testkit.Receive(t, r.FirstList(), "word of the first list")
+	d.SetList(platform.Entry{Host: "a", Dial: "127.0.0.1:9000", Block: 3, Health: "Terminating"})
+	if l := testkit.Receive(t, s.lists, "change"); len(l.Hosts) != 1 || !l.Hosts[0].Draining {
 		t.Errorf("after the change: %+v", l)
 	}
-	if n := d.Opened(); n != 1 {
+	if n := d.AcceptedConnections(); n != 1 {
 		t.Errorf("%d connections, want 1", n)
 	}
 }
@@ -158,11 +158,11 @@
 	defer srv.Close()
 	s := newSink()
 	start(t, func(ctx context.Context) { New(NewAddress(srv.Addr()), names, quiet).Run(ctx, s) })
-	if got := testkit.Next(t, targets, "call"); got != "/registry/instances" {
+	if got := testkit.Receive(t, targets, "call"); got != "/registry/instances" {
 		t.Errorf("first call: %s", got)
 	}
 	for seq := 5; seq <= 7; seq++ {
-		if got := testkit.Next(t, targets, "call"); !strings.Contains(got, fmt.Sprintf("after=%d&", seq)) || !strings.Contains(got, "wait_ms=") {
+		if got := testkit.Receive(t, targets, "call"); !strings.Contains(got, fmt.Sprintf("after=%d&", seq)) || !strings.Contains(got, "wait_ms=") {
 			t.Errorf("a call with version %d: %s", seq, got)
 		}
 	}
@@ -194,12 +194,12 @@
 	defer close(end)
 	r, s := New(NewAddress(srv.Addr()), names, quiet), newSink()
 	start(t, func(ctx context.Context) { r.Run(ctx, s) })
-	testkit.Next(t, s.lists, "first list")
+	testkit.Receive(t, s.lists, "first list")
 	for range len(garbage) + 2 {
-		testkit.Next(t, s.failed, "failure")
+		testkit.Receive(t, s.failed, "failure")
 		r.RetryNow() // does not wait out the pause
 	}
-	if l := testkit.Next(t, s.lists, "second list"); !l.Whole || len(l.Hosts) != 0 {
+	if l := testkit.Receive(t, s.lists, "second list"); !l.Whole || len(l.Hosts) != 0 {
 		t.Errorf("second list: %+v", l)
 	}
 	if n := r.Failed.Load(); n != int64(len(garbage)+2) {
@@ -233,11 +233,11 @@
 	start(t, func(ctx context.Context) { n.Run(ctx, s) })
 	want := `POST /status {"ref":"a","result":"dead"}` + "\n" + `{"ref":"b","result":"bounced","wait_ms":500}` + "\n"
 	for range 4 {
-		if got := testkit.Next(t, bodies, "post"); got != want {
+		if got := testkit.Receive(t, bodies, "post"); got != want {
 			t.Errorf("posted %q, want %q", got, want)
 		}
 	}
-	if ids := testkit.Next(t, s.noticed, "word of acceptance"); len(ids) != 2 || ids[0] != "a" || ids[1] != "b" {
+	if ids := testkit.Receive(t, s.noticed, "word of acceptance"); len(ids) != 2 || ids[0] != "a" || ids[1] != "b" {
 		t.Errorf("accepted: %v", ids)
 	}
 }
@@ -260,7 +260,7 @@
 	}
 	start(t, func(ctx context.Context) { n.Run(ctx, s) })
 	for _, want := range []string{"x", "y"} {
-		if ids := testkit.Next(t, s.noticed, "word of acceptance"); len(ids) != 1 || ids[0] != want {
+		if ids := testkit.Receive(t, s.noticed, "word of acceptance"); len(ids) != 1 || ids[0] != want {
 			t.Errorf("accepted %v, want %s", ids, want)
 		}
 	}
@@ -281,16 +281,16 @@
 	where, s := NewAddress(places[0].Addr()), newSink()
 	r := New(where, names, quiet)
 	start(t, func(ctx context.Context) { r.Run(ctx, s) })
-	testkit.Next(t, s.lists, "first list")
+	testkit.Receive(t, s.lists, "first list")
 	for i, want := range []string{"b", "a"} {
-		testkit.Eventually(t, "a watch that waits", func() bool { return places[i].Open() == 1 })
+		testkit.Eventually(t, "a watch that waits", func() bool { return places[i].OpenConnections() == 1 })
 		if !where.Move(places[1-i].Addr()) {
 			t.Fatal("discovery does not move")
 		}
-		if l := testkit.Next(t, s.lists, "list after the move"); !l.Whole || len(l.Hosts) != 1 || l.Hosts[0].Name != want {
+		if l := testkit.Receive(t, s.lists, "list after the move"); !l.Whole || len(l.Hosts) != 1 || l.Hosts[0].Name != want {
 			t.Errorf("after the move: %+v, want all of %s", l, want)
 		}
-		testkit.Eventually(t, "gone from the old address", func() bool { return places[i].Open() == 0 })
+		testkit.Eventually(t, "gone from the old address", func() bool { return places[i].OpenConnections() == 0 })
 	}
 	if n := len(s.failed) + int(r.Failed.Load()); n != 0 {
 		t.Errorf("moving counts as %d failures", n)
@@ -322,9 +322,9 @@
 	n := NewNotices(where, quiet)
 	n.EnqueueNotice(ledger.Notice{ID: "a"})
 	start(t, func(ctx context.Context) { n.Run(ctx, s) })
-	testkit.Next(t, asked, "post to the old address")
+	testkit.Receive(t, asked, "post to the old address")
 	where.Move(d.Addr())
-	if ids := testkit.Next(t, s.noticed, "word of acceptance"); len(ids) != 1 || ids[0] != "a" || len(d.Notices()) != 1 {
+	if ids := testkit.Receive(t, s.noticed, "word of acceptance"); len(ids) != 1 || ids[0] != "a" || len(d.Notices()) != 1 {
 		t.Errorf("accepted %v, told to the new address: %v", ids, d.Notices())
 	}
 	if n.Failed.Load() != 0 {
@@ -351,7 +351,7 @@
 	n, s := NewNotices(NewAddress(srv.Addr()), quiet), newSink()
 	n.EnqueueNotice(ledger.Notice{ID: "a"})
 	start(t, func(ctx context.Context) { n.Run(ctx, s) })
-	testkit.Next(t, s.noticed, "word of acceptance")
+	testkit.Receive(t, s.noticed, "word of acceptance")
 	if got := posts.Load(); got != 2 || firstLimit+firstPause >= 300*time.Millisecond {
 		t.Errorf("%d posts, the first given up after %v", got, firstLimit)
 	}
@@ -367,7 +367,7 @@
 	n, s = NewNotices(NewAddress(slow.Addr()), quiet), newSink()
 	n.EnqueueNotice(ledger.Notice{ID: "b"})
 	start(t, func(ctx context.Context) { n.Run(ctx, s) })
-	testkit.Next(t, s.noticed, "word of acceptance")
+	testkit.Receive(t, s.noticed, "word of acceptance")
 }
 
 // line is what a script does about one call.
@@ -388,7 +388,7 @@
 	d.Server, err = platform.ListenRaw("127.0.0.1:0", func(nc net.Conn) {
 		br := bufio.NewReader(nc)
 		for {
-			req, _, err := platform.Read(br)
+			req, _, err := platform.ReadRequest(br)
 			if err != nil {
 				return
 			}
@@ -467,15 +467,15 @@
 			t.Run(name+", "+form, func(t *testing.T) {
 				t.Parallel()
 				d, s, _ := follow(t, slices.Concat([]line{says(first)}, c.bad, []line{says(change), silence})...)
-				testkit.Next(t, s.lists, "first list")
+				testkit.Receive(t, s.lists, "first list")
 				begun := time.Now() // the watch follows at once
-				if l := testkit.Next(t, s.lists, "change"); !l.Hosts[0].Draining {
+				if l := testkit.Receive(t, s.lists, "change"); !l.Hosts[0].Draining {
 					t.Errorf("heard %+v", l)
 				}
 				if took := time.Since(begun); took > 6*time.Second {
 					t.Errorf("the change was heard after %v", took)
 				}
-				asked := []string{testkit.Next(t, d.targets, "call"), testkit.Next(t, d.targets, "call"), testkit.Next(t, d.targets, "call")}
+				asked := []string{testkit.Receive(t, d.targets, "call"), testkit.Receive(t, d.targets, "call"), testkit.Receive(t, d.targets, "call")}
 				if asked[0] != whole || !strings.Contains(asked[1], "after=1&wait_ms=1500") || asked[2] != c.then {
 					t.Errorf("asked %q, want the whole list, a watch, and %s after the failure", asked, c.then)
 				}
@@ -537,7 +537,7 @@
 			t.Parallel()
 			d, s, _ := follow(t, test.lines...)
 			for i, want := range test.asked {
-				if got := testkit.Next(t, d.targets, "call"); got != want {
+				if got := testkit.Receive(t, d.targets, "call"); got != want {
 					t.Errorf("call %d: %s, want %s", i, got, want)
 				}
 			}
@@ -583,10 +583,10 @@
 		r.Resume(41, 40, test.last)
 		where.Move(d.Addr())
 		start(t, func(ctx context.Context) { r.Run(ctx, s) })
-		if got := testkit.Next(t, d.targets, "call"); got != test.want {
+		if got := testkit.Receive(t, d.targets, "call"); got != test.want {
 			t.Errorf("%s: asked %s, want %s", name, got, test.want)
 		}
-		testkit.Next(t, r.FirstList(), "word of the list")
+		testkit.Receive(t, r.FirstList(), "word of the list")
 	}
 }
 
@@ -605,10 +605,10 @@
 		}
 	}
 	d, s, _ := follow(t, says(list(1, true)), silence, silence, silence, says(list(5, true, entry("a", "Ready"))), silence)
-	testkit.Next(t, s.lists, "first list")
+	testkit.Receive(t, s.lists, "first list")
 	testkit.Eventually(t, "the last call before the return", func() bool { return d.at.Load() == 4 })
 	back := time.Now() // discovery is back now, but what was asked before stays unanswered
-	testkit.Next(t, s.lists, "list after the return")
+	testkit.Receive(t, s.lists, "list after the return")
 	if took := time.Since(back); took > mostBegin+maxPause+time.Second {
 		t.Errorf("the return was heard after %v", took)
 	}
@@ -619,7 +619,7 @@
 func TestOddWatches(t *testing.T) {
 	t.Parallel()
 	d, s, r := follow(t, says(list(3, true, entry("a", "Ready"))), says(list(3, false)))
-	testkit.Next(t, s.lists, "first list")
+	testkit.Receive(t, s.lists, "first list")
 	begun := time.Now()
 	testkit.Eventually(t, "ten calls", func() bool { return d.at.Load() >= 11 })
 	if took := time.Since(begun); took < 9*emptyPause {
@@ -630,8 +630,8 @@
 	}
 
 	_, s, _ = follow(t, says(list(30, true, entry("a", "Ready"))), says(list(2, false, entry("b", "Ready"))), says(list(2, true, entry("c", "Ready"))), silence)
-	testkit.Next(t, s.lists, "first list")
-	if l := testkit.Next(t, s.lists, "list of the new count"); !l.Whole || l.Hosts[0].Name != "c" {
+	testkit.Receive(t, s.lists, "first list")
+	if l := testkit.Receive(t, s.lists, "list of the new count"); !l.Whole || l.Hosts[0].Name != "c" {
 		t.Errorf("heard %+v, want the whole list", l)
 	}
 }
@@ -649,8 +649,8 @@
 		}
 	}
 	_, s, r := follow(t, slow(list(1, true, entry("a", "Ready"))), slow(list(1, true, entry("a", "Ready"))), slow(list(2, false, entry("a", "Terminating"))), silence)
-	testkit.Next(t, s.lists, "first list")
-	if l := testkit.Next(t, s.lists, "change"); !l.Hosts[0].Draining || r.Failed.Load() != 1 {
+	testkit.Receive(t, s.lists, "first list")
+	if l := testkit.Receive(t, s.lists, "change"); !l.Hosts[0].Draining || r.Failed.Load() != 1 {
 		t.Errorf("heard %+v after %d failures, want one", l, r.Failed.Load())
 	}
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -22,7 +22,7 @@
 	Instance int
 	Line     int
 	Start    *rules.Settings // set if the instance starts here
-	Stop     bool            // set if the instance is killed here
+	Killed   bool            // set if the instance is killed here
 	Event    rules.Event     // nil for what the module is not told
 }
 
@@ -48,12 +48,12 @@
 
 	// Unknown counts the fields of events that the wire's page does not name, as "verb.field". They are skipped:
 	// a newer simulator may send more, and nothing is guessed from them.
-	Unknown map[string]int
+	UnknownFields map[string]int
 }
 
 // NewDecoder reads from r.
 func NewDecoder(r io.Reader) *Decoder {
-	return &Decoder{r: bufio.NewReaderSize(r, 1<<20), lists: map[int][]rules.Entry{}, Unknown: map[string]int{}}
+	return &Decoder{r: bufio.NewReaderSize(r, 1<<20), lists: map[int][]rules.Entry{}, UnknownFields: map[string]int{}}
 }
 
 func (d *Decoder) errorf(format string, args ...any) error {
@@ -81,7 +81,7 @@
 }
 
 // Read returns the next batch, io.EOF at the end of input, or an *Error.
-func (d *Decoder) Read() (*Batch, error) {
+func (d *Decoder) ReadBatch() (*Batch, error) {
 	verb, text, err := d.next()
 	if err != nil {
 		return nil, err
@@ -130,7 +130,7 @@
 		return nil
 	}
 	if field, unknown := strings.CutPrefix(err.Error(), "json: unknown field "); unknown {
-		d.Unknown[verb+"."+strings.Trim(field, `"`)]++
+		d.UnknownFields[verb+"."+strings.Trim(field, `"`)]++
 		err = json.Unmarshal(text, into)
 	}
 	if err != nil {
@@ -166,7 +166,7 @@
 		}
 		item.Start = set
 	case "crash_now":
-		item.Stop = true
+		item.Killed = true
 	default:
 		event, err := d.event(verb, &f)
 		if err != nil {
@@ -289,7 +289,7 @@
 
 // Write adds the actions of one instance to the reply. That an endpoint is forgotten concerns nobody on the wire, and a
 // call is on its way there as soon as it is made, so that none can be called back.
-func (e *Encoder) Write(instance int, actions []rules.Action) error {
+func (e *Encoder) WriteActions(instance int, actions []rules.Action) error {
 	for _, a := range actions {
 		switch a.(type) {
 		case rules.EndpointForgotten, rules.Recall:
@@ -307,12 +307,12 @@
 }
 
 // Die reports that an instance's decision code has failed.
-func (e *Encoder) Die(instance int, text string) error {
+func (e *Encoder) ReportCrash(instance int, text string) error {
 	return e.enc.Encode(actionFields{Verb: "die", Sender: instance, Note: text})
 }
 
 // End closes the reply and flushes it.
-func (e *Encoder) End() error {
+func (e *Encoder) EndReply() error {
 	if err := e.enc.Encode(struct {
 		Verb string `json:"verb"`
 	}{"yield"}); err != nil {
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -15,7 +15,7 @@
 func read(t *testing.T, lines ...string) (*Batch, error) {
 	t.Helper()
 	text := "{\"verb\":\"batch\",\"moment_us\":5000}\n" + strings.Join(lines, "\n") + "\n{\"verb\":\"flush\"}\n"
-	return NewDecoder(strings.NewReader(text)).Read()
+	return NewDecoder(strings.NewReader(text)).ReadBatch()
 }
 
 func TestEvents(t *testing.T) {
@@ -118,7 +118,7 @@
 func TestActions(t *testing.T) {
 	var out bytes.Buffer
 	e := NewEncoder(&out)
-	if err := e.Write(4, []rules.Action{
+	if err := e.WriteActions(4, []rules.Action{
 		rules.Send{ID: "a", Endpoint: 7, Timeout: 80 * time.Millisecond}, rules.Send{ID: "b", Endpoint: 0},
 		rules.Refuse{ID: "a", RetryAfter: 250 * time.Millisecond}, rules.Fail{ID: "a"}, rules.Cancel{ID: "a"},
 		rules.CloseIdle{Endpoint: 7}, rules.WakeAfter{After: time.Second}, rules.Watch{}, rules.Recall{ID: "a"}, rules.EndpointForgotten{Endpoint: 7},
@@ -126,10 +126,10 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	if err := e.Die(4, "why"); err != nil {
+	if err := e.ReportCrash(4, "why"); err != nil {
 		t.Fatal(err)
 	}
-	if err := e.End(); err != nil {
+	if err := e.EndReply(); err != nil {
 		t.Fatal(err)
 	}
 	want := `{"verb":"try","sender_id":4,"txn":"a","endpoint":7,"patience_us":80000}
@@ -151,7 +151,7 @@
 }
 
 func TestCleanEndOfInput(t *testing.T) {
-	if _, err := NewDecoder(strings.NewReader("")).Read(); !errors.Is(err, io.EOF) {
+	if _, err := NewDecoder(strings.NewReader("")).ReadBatch(); !errors.Is(err, io.EOF) {
 		t.Errorf("got %v, want the end of input", err)
 	}
 }
@@ -163,14 +163,14 @@
 		`{"verb":"vanished","sender_id":3,"txn":"b","colour":"red"}` + "\n" +
 		`{"verb":"wakeup","sender_id":3,"key_back":0,"again":true}` + "\n{\"verb\":\"flush\"}\n"
 	d := NewDecoder(strings.NewReader(text))
-	b, err := d.Read()
+	b, err := d.ReadBatch()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(b.Items) != 3 || b.Items[1].Event != (rules.Withdrawn{ID: "b"}) {
 		t.Errorf("items %+v", b.Items)
 	}
-	if want := map[string]int{"vanished.colour": 2}; !reflect.DeepEqual(d.Unknown, want) {
-		t.Errorf("unknown %v, want %v", d.Unknown, want)
+	if want := map[string]int{"vanished.colour": 2}; !reflect.DeepEqual(d.UnknownFields, want) {
+		t.Errorf("unknown %v, want %v", d.UnknownFields, want)
 	}
 }
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -15,7 +15,7 @@
 const limit = time.Minute // under the race detector beside a loaded machine twenty seconds were reached without a failure
 
 // Next receives from a channel.
-func Next[T any](t testing.TB, c <-chan T, what string) T {
+func Receive[T any](t testing.TB, c <-chan T, what string) T {
 	t.Helper()
 	select {
 	case v := <-c:
@@ -37,7 +37,7 @@
 }
 
 // NoDelay fails the test unless small writes to a connection leave at once (TCP_NODELAY, RFC 9293, 3.7.4).
-func NoDelay(t testing.TB, nc net.Conn) {
+func RequireNoDelay(t testing.TB, nc net.Conn) {
 	t.Helper()
 	raw, err := nc.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -54,7 +54,7 @@
 
 // Address returns a loopback address for a process to listen on that nobody else of this machine is given: one of its own with a
 // port below those of outgoing connections. A port that is free now may be taken by a connection before the process listens.
-func Address() string {
+func UniqueAddress() string {
 	n := addresses.Add(1)
 	return fmt.Sprintf("127.%d.%d.%d:9000", 2+os.Getpid()%250, n/250, 1+n%250)
 }
--- a/lab/live/live_test.go
+++ b/lab/live/live_test.go
@@ -79,7 +79,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { defer close(ended); receivers.Run(ctx) }()
-	t.Cleanup(func() { stop(); testkit.Next(t, ended, "end of the receivers") })
+	t.Cleanup(func() { stop(); testkit.Receive(t, ended, "end of the receivers") })
 	addr := startDaemon(t, binary, s, receivers.Discovery())
 
 	loader, err := NewLoad(s, LoadOptions{Targets: []string{addr}, Seed: 4, Name: "t", Body: 64, Wait: 2 * time.Second})
@@ -109,7 +109,7 @@
 // startDaemon runs the daemon until the test ends and returns its address once it is ready.
 func startDaemon(t *testing.T, binary string, s *scenario.Scenario, discovery string) string {
 	t.Helper()
-	addr := testkit.Address()
+	addr := testkit.UniqueAddress()
 	text, err := Config(s, "n1", addr, discovery)
 	if err != nil {
 		t.Fatal(err)
--- a/lab/live/receivers.go
+++ b/lab/live/receivers.go
@@ -133,7 +133,7 @@
 			v.closeAll()
 			return nil, err
 		}
-		disc.Count(int(time.Now().UnixMilli())) // a sender may come back with a version of receivers that ran before
+		disc.RestartVersions(int(time.Now().UnixMilli())) // a sender may come back with a version of receivers that ran before
 		v.discs = append(v.discs, disc)
 		discovery = "127.0.0.1:0"
 	}
@@ -153,7 +153,7 @@
 		Units: func() []*receiver.Unit { return v.site.Units }, Replace: v.replace,
 		Log: func(format string, args ...any) {
 			for _, d := range v.discs {
-				d.Mute(v.reg.Silent > 0)
+				d.DropListRequests(v.reg.Silent > 0)
 			}
 			v.log(fmt.Sprintf("%8.3fs ", v.loop.Q.Now().Seconds()) + fmt.Sprintf(format, args...))
 		}}
@@ -215,7 +215,7 @@
 		v.watch.Listed(e)
 	}
 	for sender, d := range v.discs {
-		d.Set(v.entries(sender)...)
+		d.SetList(v.entries(sender)...)
 	}
 }
 
--- a/lab/scale/discovery.go
+++ b/lab/scale/discovery.go
@@ -203,7 +203,7 @@
 	srv := g.srv
 	g.mu.Unlock()
 	if !on && srv != nil {
-		srv.Break()
+		srv.CloseConnections()
 	}
 }
 
@@ -213,7 +213,7 @@
 	srv := g.srv
 	g.mu.Unlock()
 	if srv != nil {
-		srv.Break()
+		srv.CloseConnections()
 	}
 }
 
@@ -255,7 +255,7 @@
 	c := counted{nc, g}
 	br := bufio.NewReaderSize(c, 1024)
 	for {
-		req, body, err := platform.Read(br)
+		req, body, err := platform.ReadRequest(br)
 		if err != nil {
 			return
 		}
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -56,7 +56,7 @@
 
 // Remember makes discovery answer who names one of the last versions, so many of them, with what has changed since. Without it, and
 // before those versions, the answer is the whole list.
-func (d *Discovery) Remember(versions int) {
+func (d *Discovery) KeepChanges(versions int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.memory = versions
@@ -66,14 +66,14 @@
 func (d *Discovery) forget() { d.history = d.history[max(0, len(d.history)-d.memory):] }
 
 // Count makes the next version the one after this, as after a restart that has lost the count; what came before is forgotten.
-func (d *Discovery) Count(seq int) {
+func (d *Discovery) RestartVersions(seq int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.seq, d.history, d.text, d.news = seq, nil, nil, nil
 }
 
 // Lose makes the calls that wait now fall silent: their connections stay open, and nothing comes on them any more.
-func (d *Discovery) Lose() {
+func (d *Discovery) SilenceWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	close(d.deaf)
@@ -81,28 +81,28 @@
 }
 
 // Asked returns the targets of the calls for the list so far, in the order in which they came.
-func (d *Discovery) Asked() []string {
+func (d *Discovery) ListRequestTargets() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Clone(d.asked)
 }
 
 // Bytes is how many have passed for the list so far, both ways and with their heads.
-func (d *Discovery) Bytes() int64 {
+func (d *Discovery) ListBytes() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.bytes
 }
 
 // Indent makes the lists that follow come indented by this, as a person would write them, or plain by nothing.
-func (d *Discovery) Indent(by string) {
+func (d *Discovery) SetIndent(by string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.indent, d.text, d.news = by, nil, nil
 }
 
 // Mute makes discovery answer no question for the list, or lets it answer again; notices it takes all the time.
-func (d *Discovery) Mute(on bool) {
+func (d *Discovery) DropListRequests(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.muted = on
@@ -134,7 +134,7 @@
 
 // Set replaces the list. Calls are answered by the old one until the change is ready to be told: a discovery that made it anew for each
 // call would keep those of a large change waiting. Only one Set may be under way.
-func (d *Discovery) Set(hosts ...Entry) {
+func (d *Discovery) SetList(hosts ...Entry) {
 	d.mu.Lock()
 	before, remembers, seq := d.hosts, d.memory > 0, d.seq+1
 	d.mu.Unlock()
@@ -202,7 +202,7 @@
 }
 
 // List is the list as it stands, in discovery's form.
-func (d *Discovery) List() []byte {
+func (d *Discovery) ListJSON() []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.all()
@@ -303,7 +303,7 @@
 	changed, deaf, news := d.changed, d.deaf, d.seq != after
 	d.mu.Unlock()
 	if err != nil {
-		return d.List()
+		return d.ListJSON()
 	}
 	if !news {
 		select {
@@ -337,7 +337,7 @@
 }
 
 // Received returns the names of the messages that came, one for each call or line.
-func (e *Endpoint) Received() []string {
+func (e *Endpoint) ReceivedIDs() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.received)
--- a/standin/platform/server.go
+++ b/standin/platform/server.go
@@ -45,14 +45,14 @@
 func (s *Server) Addr() string { return s.ln.Addr().String() }
 
 // Opened is how many connections it has accepted.
-func (s *Server) Opened() int {
+func (s *Server) AcceptedConnections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.opened
 }
 
 // Open is how many of them are open.
-func (s *Server) Open() int {
+func (s *Server) OpenConnections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
@@ -64,12 +64,12 @@
 	s.closed = true
 	s.mu.Unlock()
 	s.ln.Close()
-	s.Break()
+	s.CloseConnections()
 	s.wg.Wait()
 }
 
 // Break breaks all connections; new ones are still accepted.
-func (s *Server) Break() {
+func (s *Server) CloseConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for nc := range s.conns {
@@ -106,7 +106,7 @@
 }
 
 // Read reads one whole request.
-func Read(br *bufio.Reader) (req *http1.Request, body []byte, err error) {
+func ReadRequest(br *bufio.Reader) (req *http1.Request, body []byte, err error) {
 	if req, err = http1.ReadRequest(br); err != nil {
 		return nil, nil, err
 	}
@@ -118,7 +118,7 @@
 func (handle Handler) serve(nc net.Conn) {
 	br := bufio.NewReader(nc)
 	for {
-		req, body, err := Read(br)
+		req, body, err := ReadRequest(br)
 		if err != nil {
 			return
 		}
