--- a/rules/answers.go
+++ b/rules/answers.go
@@ -1,3 +1,7 @@
+// This file owns the ends of messages: when the final answer is due, why a message ends, and which messages
+// are shed or evicted early. A message must never get more than one final answer, and none that invites a
+// repeat which could take effect twice.
+
 package rules
 
 import (
@@ -6,38 +10,45 @@
 	"time"
 )
 
-// This file owns the ends of messages: when one is due, why it ends, and what is shed or evicted early.
-
 const (
-	refusalPauseCost = 0.12 // part of its worth once late that a refused message waits a try
-	freeRoomDivisor  = 16   // part of the holding room kept free for newcomers: 1/16
+	// Share of its worth that a message which is already late may lose by the pause after a refusal, for each
+	// attempt so far.
+	refusalPauseCost = 0.12
+
+	// 1/16 of the messages that may be held is kept free for new ones.
+	freeRoomDivisor = 16
 )
 
-// end gives the final answer, the only place that does: a refusal where a new try is harmless, else a Fail.
-func (s *Sender) finish(m *message, why EndReason) {
-	s.recordEnd(m, why)
-	if s.mayRefuse(m) {
-		s.emit(Refuse{ID: m.id, RetryAfter: s.retryAfterHint(m.destination)})
+// finish gives a message its final answer and is the only place that does: Refuse where a repeat is harmless,
+// else Fail.
+func (s *Sender) finish(message *message, reason EndReason) {
+	s.recordEnd(message, reason)
+	if s.mayRefuse(message) {
+		s.emit(Refuse{ID: message.id, RetryAfter: s.retryAfterHint(message.destination)})
 	} else {
-		s.emit(Fail{ID: m.id})
+		s.emit(Fail{ID: message.id})
 	}
-	s.forget(m)
+	s.forget(message)
 }
 
-func (s *Sender) mayRefuse(m *message) bool {
-	ran, c := m.mayHaveRunSince != never || len(m.inFlight) > 0, m.class
-	return !ran || c.Effect == Safe || c.Effect == Keyed && c.Scope == DedupDestination
+// mayRefuse reports whether a client may submit a message again without the risk that it takes effect twice.
+func (s *Sender) mayRefuse(message *message) bool {
+	mayHaveRun := message.mayHaveRunSince != never || len(message.inFlight) > 0
+	class := message.class
+	return !mayHaveRun || class.Effect == Safe || class.Effect == Keyed && class.Scope == DedupDestination
 }
 
-// retryAfterHint says when a refused client should come back: when the destination may be sent to again.
-func (s *Sender) retryAfterHint(d *destinationState) time.Duration {
+// retryAfterHint returns how long a refused client should wait: until the destination may be sent to again.
+func (s *Sender) retryAfterHint(destination *destinationState) time.Duration {
 	if !s.settings.MaySendRetryAfter {
 		return 0
 	}
-	return min(max(d.earliestOf(s.earliestSend)-s.now, s.horizon(d)), s.settings.MaxRetryAfter)
+	wait := max(destination.earliestOf(s.earliestSend)-s.now, s.horizon(destination))
+	return min(wait, s.settings.MaxRetryAfter)
 }
 
-// endDue ends what can earn nothing more: out of time, out of attempts, or past its key's window.
+// finishDue finishes messages that cannot be delivered any more: out of time, out of attempts, or past the
+// window of their deduplication key.
 func (s *Sender) finishDue() {
 	for _, m := range s.popDue() {
 		if !m.done() && (s.now >= s.answerDeadline(m) || len(m.inFlight) == 0 && s.exhausted(m)) {
@@ -46,110 +57,120 @@
 	}
 }
 
-// whyOver says why a message that is due or spent ends.
-func (s *Sender) endReason(m *message) EndReason {
+// endReason returns why a message that is due or exhausted ends.
+func (s *Sender) endReason(message *message) EndReason {
 	switch {
-	case s.now >= s.answerDeadline(m):
+	case s.now >= s.answerDeadline(message):
 		return EndDeadline
-	case m.attemptCount >= s.settings.MaxAttempts:
+	case message.attemptCount >= s.settings.MaxAttempts:
 		return EndAttempts
 	}
 	return EndNotRepeatable
 }
 
-// due is the last moment for the final answer: the deadline, or earlier where a step may come too late.
-func (s *Sender) answerDeadline(m *message) time.Duration {
-	return m.deadline - max(0, 2*s.settings.Tick-s.settings.AnswerGrace)
+// answerDeadline is the last moment for the final answer: the deadline, or earlier where the answer grace is
+// shorter than two ticks, as the step after the deadline may come too late.
+func (s *Sender) answerDeadline(message *message) time.Duration {
+	return message.deadline - max(0, 2*s.settings.Tick-s.settings.AnswerGrace)
 }
 
-// spent tells whether no further attempt can ever be allowed.
-func (s *Sender) exhausted(m *message) bool {
-	if m.attemptCount >= s.settings.MaxAttempts || m.mayHaveRunSince == never || m.class.Effect == Safe {
-		return m.attemptCount >= s.settings.MaxAttempts
+// exhausted reports whether no further attempt of a message can ever be allowed.
+func (s *Sender) exhausted(message *message) bool {
+	if message.attemptCount >= s.settings.MaxAttempts || message.mayHaveRunSince == never ||
+		message.class.Effect == Safe {
+		return message.attemptCount >= s.settings.MaxAttempts
 	}
-	return m.class.Effect != Keyed || s.now+s.settings.Tick >= m.windowEnd()
+	return message.class.Effect != Keyed || s.now+s.settings.Tick >= message.windowEnd()
 }
 
-// settle decides about a message after one of its attempts. In a crowd a refused one pauses before it goes
-// anywhere. Guards against refusals that feed on each other where they use up the limit; may make it late.
-func (s *Sender) settleMessage(m *message, a *attempt, e AttemptEnded) {
-	if m.finished || e.Finished {
-		if !m.finished && e.Outcome == OK {
-			m.destination.servedRate.add(s.now, trafficSpan, 1)
+// settleMessage decides what happens to a message after one of its attempts. In a large fleet a refused
+// message pauses before its next attempt at any endpoint. This keeps refusals from feeding on each other
+// where refused calls use up the limit too; the cost is that the message may become late.
+func (s *Sender) settleMessage(message *message, attempt *attempt, e AttemptEnded) {
+	if message.finished || e.Finished {
+		if !message.finished && e.Outcome == OK {
+			message.destination.servedRate.add(s.now, trafficSpan, 1)
 		}
-		s.forget(m)
+		s.forget(message)
 		return
 	}
 	if e.Outcome == Refused && s.settings.Senders > smallFleet {
-		m.notBefore = s.now + seconds(s.refusalPause(m.class)*float64(m.attemptCount)*(0.5+s.rng.Float64()))
+		pause := s.refusalPause(message.class) * float64(message.attemptCount) * s.jitter()
+		message.notBefore = s.now + seconds(pause)
 	}
-	if e.Outcome.MayHaveRun() && a.call.sentAt < m.mayHaveRunSince {
-		s.setMayHaveRun(m, a.call.endpoint, a.call.sentAt)
+	if e.Outcome.MayHaveRun() && attempt.call.sentAt < message.mayHaveRunSince {
+		s.setMayHaveRun(message, attempt.call.endpoint, attempt.call.sentAt)
 	}
-	if len(m.inFlight) == 0 && s.exhausted(m) {
-		s.finish(m, s.endReason(m))
+	if len(message.inFlight) == 0 && s.exhausted(message) {
+		s.finish(message, s.endReason(message))
 		return
 	}
-	s.enqueue(m)
+	s.enqueue(message)
 }
 
-// refusedPause is the seconds in which a late message of the class loses a set part of its worth. Where
-// worth falls slowly, patience spares a limit that refused calls use up; where it halves, patience is dear.
-func (s *Sender) refusalPause(c *Class) float64 {
+// refusalPause returns the seconds in which a late message of the class loses refusalPauseCost of its worth.
+// Where worth falls slowly a long pause spares a limit that refused calls use up; where it halves with each
+// further aim a long pause would cost too much.
+func (s *Sender) refusalPause(class *Class) float64 {
 	if s.settings.LateHalving {
-		return -math.Log2(1-refusalPauseCost) * c.Aim.Seconds()
+		return -math.Log2(1-refusalPauseCost) * class.Aim.Seconds()
 	}
-	return refusalPauseCost / max(1-c.LateWorth, refusalPauseCost) * (c.Deadline - c.Aim).Seconds()
+	return refusalPauseCost / max(1-class.LateWorth, refusalPauseCost) * (class.Deadline - class.Aim).Seconds()
 }
 
-// shed answers at once, with when to come again, what cannot be sent in time: a told wait of all listed
-// endpoints lasts longer or, in a crowd, all are on probation or ramp here: others may be well there.
-// Guards against messages kept for nothing; loses what clients give up.
+// shed refuses at once, with a Retry-After, what cannot be sent in time because a Retry-After holds longer
+// at all listed endpoints. In a large fleet it also sheds where all of them are on probation or slow start
+// here, as other senders may see them healthy. This keeps messages from being held for nothing; the cost is
+// messages that their clients do not submit again.
 func (s *Sender) shed() {
-	halted := func(ep *endpointState) time.Duration { return ep.limitScope.controller.notBefore }
+	retryAfterEnd := func(ep *endpointState) time.Duration { return ep.limitScope.controller.notBefore }
 	for _, d := range slices.Clone(s.backlogged) {
-		at := d.earliestOf(func(ep *endpointState) time.Duration {
+		reachableAt := d.earliestOf(func(ep *endpointState) time.Duration {
 			if ep.health != healthy && s.settings.Senders > smallFleet && s.settings.MaySendRetryAfter {
 				return s.earliestSend(ep)
 			}
-			return halted(ep)
+			return retryAfterEnd(ep)
 		})
-		if at <= d.firstDue || at == never {
+		if reachableAt <= d.firstDue || reachableAt == never {
 			continue
 		}
-		shut := d.earliestOf(halted)
-		for _, m := range s.dueBefore(d, func(like *message) time.Duration {
+		allowedAt := d.earliestOf(retryAfterEnd)
+		// A message that can only be failed is shed for a Retry-After alone.
+		limit := func(like *message) time.Duration {
 			if s.mayRefuse(like) {
-				return max(at, shut)
+				return max(reachableAt, allowedAt)
 			}
-			return shut
-		}) {
+			return allowedAt
+		}
+		for _, m := range s.dueBefore(d, limit) {
 			s.finish(m, EndShed)
 		}
 	}
 }
 
-// evict refuses messages of the most backed-up destination before newcomers for others find no room.
+// evict refuses messages of the destination with the longest backlog before there is no room left for new
+// messages to others.
 func (s *Sender) evict() {
 	for limit := s.settings.MaxHeld - max(1, s.settings.MaxHeld/freeRoomDivisor); len(s.held) > limit; {
-		var worst *destinationState
+		var longest *destinationState
 		for _, d := range s.backlogged {
-			if s.leastValuable(d) != nil && (worst == nil || s.backlogSeconds(d) > s.backlogSeconds(worst)) {
-				worst = d
+			if s.leastValuable(d) != nil &&
+				(longest == nil || s.backlogSeconds(d) > s.backlogSeconds(longest)) {
+				longest = d
 			}
 		}
-		if worst == nil {
+		if longest == nil {
 			return
 		}
-		s.finish(s.leastValuable(worst), EndEvicted)
+		s.finish(s.leastValuable(longest), EndEvicted)
 	}
 }
 
-// leastValuable is the waiting message of a destination that is worth least, among those that may be
-// refused. Of equals it is the newest, which has most time left to come again.
-func (s *Sender) leastValuable(d *destinationState) *message {
+// leastValuable returns the waiting message of a destination that is worth least, among those that may be
+// refused. Of equals it is the newest, as its client has most time left to submit it again.
+func (s *Sender) leastValuable(destination *destinationState) *message {
 	r := ranking{limit: 1, newestFirst: true, subtrees: &s.subtrees}
-	for _, g := range d.groups {
+	for _, g := range destination.groups {
 		if m := g.root; s.mayRefuse(m) {
 			value := func(m *message) float64 { return -s.worth(m, s.now) }
 			r.add(g, value, roundingTolerance*m.class.Worth, breakpoints(m.class, s.now))
--- a/rules/breaker.go
+++ b/rules/breaker.go
@@ -1,3 +1,7 @@
+// This file owns the circuit breaker of one class at one endpoint, and the hints that senders share about
+// it. No rule may depend on a hint, which can be late, repeated or lost. An open breaker must never keep a
+// class from the only endpoint that would take it.
+
 package rules
 
 import (
@@ -6,69 +10,75 @@
 	"time"
 )
 
-// This file owns the circuit breaker of one class at one endpoint, and the hints about it between senders.
-
 const (
-	breakerPause      = 6 * time.Second  // first pause of a class at an endpoint that failed it
-	hintSpan          = 5 * time.Second  // span over which what is told of an endpoint counts
-	hintThreshold     = 1.7              // notes within it that make a class shun an endpoint
-	maxHintRetryAfter = 20 * time.Second // longest wait believed from another sender
+	// How long a breaker stays open at first. It doubles with each failure in a row, up to limitExpiry.
+	breakerPause = 6 * time.Second
+
+	hintSpan          = 5 * time.Second  // time constant of the rate of hints about a class at an endpoint
+	hintThreshold     = 1.7              // hints within hintSpan that open the breaker: two, but not one
+	maxHintRetryAfter = 20 * time.Second // longest Retry-After accepted in a hint
 )
 
-// publishHint tells the other senders of a failed or overdue call, unless enough of them have said so
-// already.
-func (s *Sender) publishHint(c *call) {
-	if c.hintPublished || !s.settings.MayShareHints {
+// publishHint publishes a failed or overdue call to the other senders, unless enough of them have already
+// published hints about the same class and endpoint.
+func (s *Sender) publishHint(call *call) {
+	if call.hintPublished || !s.settings.MayShareHints {
 		return
 	}
-	c.hintPublished = true
-	if !c.classHealth().suspectedByOthers(s.now) {
-		s.emit(PublishHint{Hint{Endpoint: c.endpoint.id, Class: c.class()}})
+	call.hintPublished = true
+	if !call.classHealth().suspectedByOthers(s.now) {
+		s.emit(PublishHint{Hint{Endpoint: call.endpoint.id, Class: call.class()}})
 	}
-	s.countHint(c.classHealth())
+	s.countHint(call.classHealth())
 }
 
-// doubted tells whether enough is said of an endpoint: one call may be slow by itself, two make a class shun
-// it.
-func (v *classHealth) suspectedByOthers(now time.Duration) bool {
-	return v.hints.perSecond(now, hintSpan) >= hintThreshold/hintSpan.Seconds()
+// suspectedByOthers reports whether there are enough hints to open the breaker: one call may be slow by
+// chance, two count.
+func (h *classHealth) suspectedByOthers(now time.Duration) bool {
+	return h.hints.perSecond(now, hintSpan) >= hintThreshold/hintSpan.Seconds()
 }
 
-// onHint takes another sender's note. What it names may be unknown here.
-func (s *Sender) onHint(n Hint) {
-	ep := s.endpoint(n.Endpoint)
+// onHint processes a hint of another sender. Its endpoint or class may be unknown here.
+func (s *Sender) onHint(hint Hint) {
+	endpoint := s.endpoint(hint.Endpoint)
 	switch {
-	case ep == nil || n.Class < 0 || n.Class >= len(s.settings.Classes):
-	case n.RetryAfter > 0:
-		s.markUnavailableUntil(ep, s.now+min(n.RetryAfter, maxHintRetryAfter))
+	case endpoint == nil || hint.Class < 0 || hint.Class >= len(s.settings.Classes):
+		// unknown: ignored
+	case hint.RetryAfter > 0:
+		s.markUnavailableUntil(endpoint, s.now+min(hint.RetryAfter, maxHintRetryAfter))
 	default:
-		s.countHint(ep.classHealth(n.Class))
+		s.countHint(endpoint.classHealth(hint.Class))
 	}
 }
 
-// countHint counts what is said of an endpoint.
-func (s *Sender) countHint(v *classHealth) {
-	if v.hints.add(s.now, hintSpan, 1); v.suspectedByOthers(s.now) {
-		v.openUntil = max(v.openUntil, s.now+seconds(breakerPause.Seconds()*(1+s.rng.Float64())))
+// countHint counts a hint about a class at an endpoint, and opens the breaker if there are enough of them.
+func (s *Sender) countHint(health *classHealth) {
+	health.hints.add(s.now, hintSpan, 1)
+	if health.suspectedByOthers(s.now) {
+		pause := seconds(breakerPause.Seconds() * (1 + s.rng.Float64()))
+		health.openUntil = max(health.openUntil, s.now+pause)
 	}
 }
 
-// shun holds a failed or overdue call of a class against its endpoint: while another one takes the class, it
-// goes there, and here in ever sparser trials. Guards against an endpoint that swallows one class and serves
-// others, whose answers hide it; where calls are merely slow the other endpoints get more than their part.
-func (s *Sender) openBreaker(c *call) {
-	if v := c.classHealth(); !c.openedBreaker {
-		c.openedBreaker = true
-		pause := min(breakerPause.Seconds()*math.Exp2(float64(v.consecutiveFailures)), limitExpiry.Seconds())
-		v.openUntil = s.now + seconds(pause*(0.5+s.rng.Float64()))
-		v.consecutiveFailures++
+// openBreaker counts a failed or overdue call against its class at its endpoint, once per call. While
+// another endpoint takes the class its messages go there, and here only as ever rarer probes. This guards
+// against an endpoint that leaves one class unanswered while its answers to other classes make it look
+// healthy. Where calls are merely slow, the cost is that the other endpoints get more than their share.
+func (s *Sender) openBreaker(call *call) {
+	health := call.classHealth()
+	if call.openedBreaker {
+		return
 	}
+	call.openedBreaker = true
+	pause := min(breakerPause.Seconds()*math.Exp2(float64(health.consecutiveFailures)), limitExpiry.Seconds())
+	health.openUntil = s.now + seconds(pause*s.jitter())
+	health.consecutiveFailures++
 }
 
-// shuns tells whether a class is to stay away from an endpoint, as another one takes it.
-func (s *Sender) breakerOpen(ep *endpointState, class int) bool {
-	return s.now < ep.classHealth(class).openUntil &&
-		slices.ContainsFunc(ep.destination.endpoints, func(o *endpointState) bool {
-			return o.inService && o.health != probation && s.now >= o.classHealth(class).openUntil
+// breakerOpen reports whether a class must stay away from an endpoint, as another one takes it.
+func (s *Sender) breakerOpen(endpoint *endpointState, class int) bool {
+	return s.now < endpoint.classHealth(class).openUntil &&
+		slices.ContainsFunc(endpoint.destination.endpoints, func(other *endpointState) bool {
+			return other.inService && other.health != probation && s.now >= other.classHealth(class).openUntil
 		})
 }
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -1,7 +1,10 @@
-// The step of a sender, and the one guard that every call passes (maySend). The interface (settings, events,
-// actions) is in api.go. Decisions stand by subject: the AIMD rate in ratecontrol.go, slow start in
-// slowstart.go, what one failure means in doubt.go, health in health.go and breaker.go, the order of work in
-// scheduling.go, the ends of messages in answers.go.
+// This file owns the step of a sender, the order of its parts, and maySend, the one guard that every call
+// passes. It must never let a call bypass maySend. The interface (settings, events, actions) is in api.go.
+//
+// The other decisions are split by subject: the AIMD rate in ratecontrol.go, slow start in slowstart.go,
+// what a single failure means in suspicion.go, health in health.go and breaker.go, the order of work in
+// scheduling.go, and the ends of messages in answers.go.
+
 package rules
 
 import (
@@ -9,17 +12,29 @@
 	"time"
 )
 
-// Tuned values. Each holds for every deployment; what differs between them comes with the settings.
+// Tuned values that hold for every deployment. What differs between deployments is in Settings.
 const (
-	trafficSpan   = 10 * time.Second       // span of delivered rates, shares and cures; an outage's length
-	goneRetention = 30 * time.Second       // an endpoint gone this long: nothing known of it counts any more
-	pollInterval  = 250 * time.Millisecond // wake-ups while anything waits
-	never         = time.Duration(math.MaxInt64)
+	// Time constant of the decaying rates of arrivals, deliveries and broken connections; about as long as an
+	// outage lasts.
+	trafficSpan = 10 * time.Second
+
+	// What is known of an endpoint is dropped this long after discovery has removed it.
+	goneRetention = 30 * time.Second
+
+	pollInterval = 250 * time.Millisecond // longest time between steps while messages are held
+	never        = time.Duration(math.MaxInt64)
+
+	minDivisor = 1e-3 // seconds, or calls a second; smaller divisors are raised to it, to keep quotients finite
+
+	// A failed watch is retried after this part of the watch interval, with jitter.
+	watchRetryDivisor = 8
 )
 
-// Step takes what has come in and returns what to do about it now.
+// Step processes the events that have come in and returns the actions to take now.
 func (s *Sender) Step(now time.Duration, events []Event) []Action {
-	s.now, s.actions, s.stalled = now, nil, now-s.wakeAt > minLateAfter
+	s.now = now
+	s.actions = nil
+	s.stalled = now-s.wakeAt > minLateAfter
 	s.startedAt = min(s.startedAt, now)
 	if now >= s.wakeAt {
 		s.wakeAt = never
@@ -27,9 +42,11 @@
 	for _, e := range events {
 		s.handleEvent(e)
 	}
+	// Only after all events: failures restored from the first arrival alone would set a rate that lasts longer
+	// than those of the others.
 	for _, e := range events {
 		if a, arrived := e.(Arrived); arrived && a.Prior.indicatesOutage() {
-			s.restoreFailures(a) // by all that has come: the first alone makes a rate that outlasts the others
+			s.restoreFailures(a)
 		}
 	}
 	if s.now >= s.watchAt {
@@ -68,27 +85,33 @@
 	case RememberedOutage:
 		s.restoreOutage(e)
 	case DiscoveryFailed:
-		if s.settings.WatchesRegistry { // ask again soon, spread out: all senders may have failed at once
-			s.watchAt = s.now + seconds(s.settings.WatchInterval.Seconds()/8*(0.5+s.rng.Float64()))
+		if s.settings.WatchesRegistry { // the watch may have failed for all senders at once, hence the jitter
+			s.watchAt = s.now + seconds(s.settings.WatchInterval.Seconds()/watchRetryDivisor*s.jitter())
 		}
 	}
 }
 
-// maySend is the guard that every send passes; it holds the rules, whatever the plan says.
-func (s *Sender) maySend(m *message, ep *endpointState) bool {
-	mayNow := s.now >= m.notBefore && !m.done() && len(m.inFlight) == 0 && s.now < s.answerDeadline(m) &&
-		!s.exhausted(m)
-	return mayNow && !s.unavailable(ep) && ep.destination == m.destination && withinDedupScope(m, ep) &&
-		(m.orderQueue == nil || s.nextInOrder(m))
+// jitter returns a random factor from 0.5 to 1.5, so that senders which wait for the same reason do not all
+// go on at once.
+func (s *Sender) jitter() float64 { return 0.5 + s.rng.Float64() }
+
+// maySend is the guard that every send passes. It enforces the rules whatever the plan proposes.
+func (s *Sender) maySend(message *message, endpoint *endpointState) bool {
+	mayNow := s.now >= message.notBefore && !message.done() && len(message.inFlight) == 0 &&
+		s.now < s.answerDeadline(message) && !s.exhausted(message)
+	return mayNow && !s.unavailable(endpoint) && endpoint.destination == message.destination &&
+		withinDedupScope(message, endpoint) && (message.orderQueue == nil || s.nextInOrder(message))
 }
 
-// closed tells whether nothing may reach an endpoint: it drains, is gone, or its lane was told to wait.
-func (s *Sender) unavailable(ep *endpointState) bool {
-	return !ep.inService || s.now < ep.limitScope.controller.notBefore
+// unavailable reports whether no call may reach an endpoint: it drains, is gone, or a Retry-After holds for
+// its limit scope.
+func (s *Sender) unavailable(endpoint *endpointState) bool {
+	return !endpoint.inService || s.now < endpoint.limitScope.controller.notBefore
 }
 
-// callBack holds that for calls decided before, as far as they are not written yet: a connection may come up
-// later than the slack of a drain or a wait. Costs those that come up for nothing.
+// recallUnavailable recalls earlier calls to endpoints that have become unavailable, as far as they are not
+// fully written: their connection may come up after the time that a drain or a Retry-After leaves for calls
+// on the way. The cost is connections that are opened for nothing.
 func (s *Sender) recallUnavailable() {
 	for _, c := range s.calls {
 		if s.unavailable(c.endpoint) {
@@ -97,36 +120,41 @@
 	}
 }
 
-// keyHolds tells whether a message that may have run is in the scope of its key at ep; spent has the window.
-func withinDedupScope(m *message, ep *endpointState) bool {
-	// at is nil if a process before this one sent it and it is unlisted
-	at, scope := m.mayHaveRunOn, m.class.Scope
-	return m.class.Effect != Keyed || m.mayHaveRunSince == never || scope == DedupDestination || at == ep ||
-		scope == DedupZone && at != nil && at.zone == ep.zone
+// withinDedupScope reports whether a message that may have run is still within the scope of its deduplication
+// key at an endpoint. The time window of the key is checked by exhausted.
+func withinDedupScope(message *message, endpoint *endpointState) bool {
+	// ranOn is nil if an earlier process sent the message to an endpoint that is no longer listed.
+	ranOn := message.mayHaveRunOn
+	scope := message.class.Scope
+	return message.class.Effect != Keyed || message.mayHaveRunSince == never || scope == DedupDestination ||
+		ranOn == endpoint || scope == DedupZone && ranOn != nil && ranOn.zone == endpoint.zone
 }
 
-// hasTurn tells whether a message is first of its key, with nothing of an earlier one still about.
-func (s *Sender) nextInOrder(m *message) bool {
-	t := m.orderQueue
-	return t.messages[0] == m && t.inFlight == len(m.inFlight) && (s.now >= t.pausedUntil || t.pausedBy == m)
+// nextInOrder reports whether a message is the first of its order key and no earlier one of the key is
+// still in flight or may still run.
+func (s *Sender) nextInOrder(message *message) bool {
+	queue := message.orderQueue
+	return queue.messages[0] == message && queue.inFlight == len(message.inFlight) &&
+		(s.now >= queue.pausedUntil || queue.pausedBy == message)
 }
 
-// send makes one call of the messages.
-func (s *Sender) send(ep *endpointState, msgs []*message) {
-	for _, a := range s.openCall(ep, msgs).attempts {
-		s.emit(Send{ID: a.id, Endpoint: ep.id, Timeout: s.timeout(a.message, ep),
+// send makes one call that carries the messages.
+func (s *Sender) send(endpoint *endpointState, messages []*message) {
+	for _, a := range s.openCall(endpoint, messages).attempts {
+		s.emit(Send{ID: a.id, Endpoint: endpoint.id, Timeout: s.timeout(a.message, endpoint),
 			WriteWithin: s.windowLeft(a.message)})
 	}
-	ep.limitScope.controller.onSend(s.now, s.settings.Senders)
-	s.chargeCall(ep)
+	endpoint.limitScope.controller.onSend(s.now, s.settings.Senders)
+	s.chargeCall(endpoint)
 }
 
-// attemptEnded takes an outcome: for its endpoint once a call, for the message always. A wait binds whoever
-// it was told to, also by the later outcomes of one call.
+// onAttemptEnded processes an outcome: for its endpoint only the first of each call, for its message every
+// one. A Retry-After binds the limit scope that returned it, also if a later outcome of the same call
+// brings it.
 func (s *Sender) onAttemptEnded(e AttemptEnded) {
-	if ep := s.endpoint(e.Endpoint); ep != nil && e.RetryAfter > 0 {
-		ep.limitScope.controller.expire(s.expiryCheckedAt)
-		ep.limitScope.controller.onRetryAfter(s.now + e.RetryAfter)
+	if endpoint := s.endpoint(e.Endpoint); endpoint != nil && e.RetryAfter > 0 {
+		endpoint.limitScope.controller.expire(s.expiryCheckedAt)
+		endpoint.limitScope.controller.onRetryAfter(s.now + e.RetryAfter)
 	}
 	a := s.closeAttempt(e)
 	if a == nil {
@@ -147,7 +175,7 @@
 	}
 }
 
-// scheduleWake asks to be woken when the next thing falls due.
+// scheduleWakeUp asks for a wake-up when the next thing falls due.
 func (s *Sender) scheduleWakeUp() {
 	next := min(s.watchAt, s.earliestDue())
 	for _, d := range s.backlogged {
@@ -159,6 +187,7 @@
 		}
 	}
 	if next < s.wakeAt {
+		// Rounded up to a whole microsecond, or the wake-up would come too early.
 		s.wakeAt = (max(next, s.now+s.settings.Tick) + time.Microsecond - 1).Truncate(time.Microsecond)
 		s.emit(WakeAfter{After: s.wakeAt - s.now})
 	}
--- /dev/null
+++ b/rules/suspicion.go
@@ -0,0 +1,158 @@
+// This file owns suspicion: how a sender treats an endpoint whose latest outcome is a failure, as long as
+// it does not take the endpoint for down. The senders of a small fleet go on as before. In a large fleet
+// each waits briefly and then lets a single call find out. Suspicion ends with an answer to a later call,
+// or with probation. It must never let many senders go on at the same moment.
+
+package rules
+
+import (
+	"slices"
+	"time"
+)
+
+const (
+	// Pause after a failure for each sender beyond a small fleet: the senders must not all retry at once.
+	pausePerSender = 5 * time.Millisecond
+
+	// A longer pause would move the first retries of an outage to the moment at which it ends.
+	maxFailurePause = 200 * time.Millisecond
+
+	// The pause is longer by this factor while another endpoint of the destination serves.
+	alternativePauseFactor = 8
+
+	// A failure that no call has followed up this long after its pause counts as two.
+	followUpGrace = 100 * time.Millisecond
+
+	// Fewest failures in a row that are restored after a restart: one of them may not have been recorded.
+	minRestoredFailures = 2
+)
+
+// failurePause returns how long the failed endpoints of a destination are left alone while it is not known
+// whether they are down.
+func (s *Sender) failurePause(endpoint *endpointState) time.Duration {
+	pause := min(pausePerSender*time.Duration(max(s.settings.Senders-smallFleet, 0)), maxFailurePause)
+	alternative := slices.ContainsFunc(endpoint.destination.endpoints, func(other *endpointState) bool {
+		return other.inService && other.consecutiveFailures == 0
+	})
+	if alternative {
+		pause *= alternativePauseFactor
+	}
+	return seconds(pause.Seconds() * s.jitter())
+}
+
+// awaitsConfirmation reports whether a suspected endpoint has a call in flight whose outcome will show
+// whether it is down, so that others wait for it. This keeps a backlog from leaving all at once when a
+// pause ends. Where answers are slow, the cost is that the backlog leaves late.
+func (s *Sender) awaitsConfirmation(endpoint *endpointState) bool {
+	limit := max(1, int((1-s.failureWeight())*float64(s.settings.Slots)))
+	return limit < s.settings.Slots && endpoint.consecutiveFailures > 0 && endpoint.health == healthy &&
+		len(endpoint.calls) >= limit
+}
+
+// expireSuspicions puts endpoints on probation whose latest outcome is a failure that no call has followed
+// up in time. A brief pause spreads out calls that follow failures as these happen. It doesn't spread out
+// calls that had to wait for a slot or a message: they would leave from many senders at the same moment, as
+// slots become free by what ends for all senders at once.
+func (s *Sender) expireSuspicions() {
+	if s.failureWeight() == 0 {
+		return
+	}
+	for _, d := range s.backlogged {
+		for _, ep := range d.endpoints {
+			notFollowedUp := ep.consecutiveFailures > 0 && ep.health == healthy &&
+				s.now > d.retryNotBefore+followUpGrace && len(ep.calls) == 0
+			if notFollowedUp && s.noAlternative(ep) && s.treatsAsOutage() {
+				s.startProbation(ep, TimedOut, CauseFailures)
+			}
+		}
+	}
+}
+
+// suspicionOutlasted reports whether the answer to a call sent at sentAt ends a suspicion that lasted too
+// long for a chance failure, or one during slow start. The endpoint may then be cold.
+func (s *Sender) suspicionOutlasted(endpoint *endpointState, sentAt time.Duration) bool {
+	if endpoint.consecutiveFailures == 0 || sentAt <= endpoint.lastFailedSentAt ||
+		endpoint.health == probation || !s.treatsAsOutage() {
+		return false
+	}
+	return endpoint.health == slowStart ||
+		sentAt-endpoint.failingSince >= maxBriefOutage && s.noAlternative(endpoint)
+}
+
+// slowStartAfterSuspicion begins the slow start that follows such a suspicion, anew if one is under way.
+func (s *Sender) slowStartAfterSuspicion(endpoint *endpointState, sentAt time.Duration) {
+	if endpoint.health == healthy {
+		endpoint.preOutageRate = s.measurePreOutageRate(endpoint)
+		endpoint.symptom = TimedOut
+	}
+	endpoint.lastCharged = s.now
+	since := max(endpoint.healthSince, s.estimateReturn(endpoint, sentAt))
+	s.setHealth(endpoint, slowStart, since, CauseAnswered)
+}
+
+// inheritFailures gives a new endpoint the failures and the health of its destination's other endpoints.
+// Otherwise the whole backlog would go to the new endpoint at once.
+func (s *Sender) inheritFailures(endpoint *endpointState) {
+	if s.settings.Senders <= smallFleet {
+		return
+	}
+	for _, other := range endpoint.destination.endpoints {
+		if other.limitScope != endpoint.limitScope || other == endpoint {
+			continue
+		}
+		endpoint.consecutiveFailures = max(endpoint.consecutiveFailures, other.consecutiveFailures)
+		if other.health != healthy && endpoint.health == healthy &&
+			!hasHealthyEndpoint(endpoint.destination, endpoint) && s.treatsAsOutage() {
+			endpoint.symptom, endpoint.failingSince = other.symptom, other.failingSince
+			s.setHealth(endpoint, other.health, other.healthSince, CauseInherited)
+			endpoint.lastCharged = s.randomPhase(endpoint)
+		}
+	}
+}
+
+// indicatesOutage reports whether the attempts of a message before this process started suggest an outage: a
+// failure, or a call that was in flight for long.
+func (p PriorAttempts) indicatesOutage() bool {
+	return p.Failed > 0 || p.MayHaveRun && p.Age > initialLateAfter
+}
+
+// hasHealthyEndpoint reports whether a destination has an endpoint, other than except, that is healthy as
+// far as this sender knows.
+func hasHealthyEndpoint(destination *destinationState, except *endpointState) bool {
+	return slices.ContainsFunc(destination.endpoints, func(other *endpointState) bool {
+		return other != except && other.inService && other.health == healthy && other.consecutiveFailures == 0
+	})
+}
+
+// noAlternative reports whether no other endpoint shows that an endpoint's destination is up, so that a
+// failure may be an outage of the destination. With a healthy alternative the endpoint may just have been
+// removed.
+func (s *Sender) noAlternative(endpoint *endpointState) bool {
+	return s.kind(endpoint).RoutesApart || !hasHealthyEndpoint(endpoint.destination, endpoint)
+}
+
+// restoreFailures takes over the failures that an earlier process saw at a destination. Otherwise a fleet
+// that restarts during an outage would send all its unfinished messages as the outage ends. At least
+// minRestoredFailures are taken over, as one failure may not have been recorded and a call that was in
+// flight for long may have hung. This is too careful where single attempts fail often.
+func (s *Sender) restoreFailures(arrived Arrived) {
+	destination := s.destination(arrived.Destination)
+	for _, ep := range destination.endpoints {
+		failures := min(max(arrived.Prior.Failed, minRestoredFailures), outageFailures)
+		if s.settings.Senders > smallFleet && failures > ep.consecutiveFailures {
+			ep.consecutiveFailures = failures
+			ep.failingSince = s.now
+			destination.retryNotBefore = max(destination.retryNotBefore, s.now+s.failurePause(ep))
+		}
+	}
+}
+
+// laterAnswered reports whether an answer shows that an endpoint which left a call unanswered is up. In a
+// large fleet only the answer to a later call does: calls from before an outage may be answered after one
+// that the outage left unanswered.
+func (s *Sender) laterAnswered(endpoint *endpointState, sentAt time.Duration) bool {
+	if s.treatsAsOutage() {
+		return endpoint.lastAnsweredSentAt > sentAt
+	}
+	return endpoint.lastAnsweredAt > sentAt
+}
