--- a/rules/health.go
+++ b/rules/health.go
@@ -1,3 +1,7 @@
+// This file owns the health that a sender ascribes to an endpoint: what outcomes and missing answers show
+// about it, and how long the sender waits for an answer. It must never take an endpoint that may be cold
+// for healthy without a slow start.
+
 package rules
 
 import (
@@ -6,238 +10,280 @@
 	"time"
 )
 
-// This file owns what a sender takes an endpoint for: what outcomes and silence say of it, and how long
-// it waits for an answer.
-
 const (
-	outageFailures     = 4               // failures in a row that are an outage
-	unresponsiveFactor = 3               // late-answer times of silence that are an outage
-	maxBriefOutage     = 3 * time.Second // trouble shorter than this leaves nothing cold
-	latencyGain        = 0.125           // weight of a new latency sample
-	initialLateAfter   = 2 * time.Second // late-answer time before any sample
-	maxSlowness        = 2               // times that late grows where all calls are slow
-	// least late-answer time: service times have long tails
-	minLateAfter = 500 * time.Millisecond
-	// most: a slow endpoint must still be found silent in time
-	maxLateAfter      = 8 * time.Second
-	timeoutFactor     = 5                       // time-out of a repeatable call, in late-answer times
-	longOverdueFactor = 2                       // the same with all slots taken
-	minTimeout        = 1500 * time.Millisecond // least such time-out: a connect and a service time
-	// answers since a connect was turned away; then they stay open
-	keepOpenAnswersAfterRefusal = 60
-	keepOpenAnswers             = 5 // the same where none was turned away yet
+	outageFailures     = 4 // failures in a row that are an outage
+	unresponsiveFactor = 3 // an endpoint that answers nothing for this many times lateAfter has an outage
+
+	// An endpoint is not cold after an outage shorter than this.
+	maxBriefOutage = 3 * time.Second
+
+	// Weights of the smoothing of latency and its deviation, as in the retransmission timer of TCP (RFC 6298).
+	latencyGain             = 0.125 // weight of a new sample
+	lateDeviations          = 4     // deviations above the mean at which an answer is late
+	initialDeviationDivisor = 2     // the deviation starts as this part of the first sample: 1/2
+
+	// Bounds of lateAfter.
+	initialLateAfter = 2 * time.Second        // before any sample
+	maxSlowness      = 2                      // it grows by at most this factor where all calls are slow
+	minLateAfter     = 500 * time.Millisecond // service times have long tails
+	maxLateAfter     = 8 * time.Second        // an unresponsive endpoint must be found in time even if slow
+
+	// Time to an answer that is assumed before any sample.
+	initialLatency = initialLateAfter / 4
+
+	// Timeout of a repeatable call.
+	timeoutFactor         = 5                       // in times of lateAfter
+	timeoutGrowthFailures = 4                       // it grows by half for each failure in a row, up to this
+	minTimeout            = 1500 * time.Millisecond // leaves time for a connect and for the service
+
+	// After this many times lateAfter a hint is published, and the call may be cancelled if all slots
+	// are in use.
+	longOverdueFactor = 2
+
+	// In a large fleet, idle connections to a kind of destination stay open once it has given this many answers:
+	keepOpenAnswers             = 5  // where no connect has been refused yet
+	keepOpenAnswersAfterRefusal = 60 // since a connect was refused
 )
 
-// timeout is how long to wait on a call. Only what may be sent again is timed out; freeSlot frees slots. A
-// keyed one among it: its answer may be lost, and meanwhile it holds its key's turn and uses up its window.
-func (s *Sender) timeout(m *message, ep *endpointState) time.Duration {
-	if m.class.Effect == AtMostOnce {
+// timeout returns how long to wait for the answer to a message, 0 for no limit. Only repeatable messages
+// time out; slots of the others are freed by cancelOldest. Keyed messages are among the repeatable ones: an
+// answer may be lost, and the message would meanwhile block its order key and use up its deduplication
+// window.
+func (s *Sender) timeout(message *message, endpoint *endpointState) time.Duration {
+	if message.class.Effect == AtMostOnce {
 		return 0
 	}
-	late := s.lateAfter(ep, m.classIndex).Seconds()
-	return max(seconds(late*timeoutFactor*(1+float64(min(ep.consecutiveFailures, 4))/2)), minTimeout)
+	late := s.lateAfter(endpoint, message.classIndex).Seconds()
+	growth := 1 + float64(min(endpoint.consecutiveFailures, timeoutGrowthFailures))/2
+	return max(seconds(late*timeoutFactor*growth), minTimeout)
 }
 
-// lateAfter is the time after which an answer of the endpoint to a call of the class is unusually late.
-// Where all calls take longer than they did, it is no endpoint's fault, and later is usual.
-func (s *Sender) lateAfter(ep *endpointState, class int) time.Duration {
-	t := &ep.classHealth(class).timing
+// lateAfter returns the time after which an endpoint's answer to a call of the class is unusually late.
+// Where all calls take longer than before no endpoint is at fault, and the time is longer.
+func (s *Sender) lateAfter(endpoint *endpointState, class int) time.Duration {
+	t := &endpoint.classHealth(class).timing
 	if !t.known {
-		t = &ep.timing
+		t = &endpoint.timing
 	}
-	if !t.known && s.settings.Senders > smallFleet { // it sees little: go by what it sees elsewhere
+	if !t.known && s.settings.Senders > smallFleet {
+		// A sender of a large fleet sees little of each endpoint, so the other endpoints stand in.
 		t = &s.classTimings[class]
 	}
 	if !t.known {
 		return initialLateAfter
 	}
-	return min(max(seconds((t.latency+4*t.spread)*min(max(s.slowness, 1), maxSlowness)), minLateAfter),
-		maxLateAfter)
+	slowness := min(max(s.slowness, 1), maxSlowness)
+	late := seconds((t.latency + lateDeviations*t.spread) * slowness)
+	return min(max(late, minLateAfter), maxLateAfter)
 }
 
 func (t *timing) addSample(elapsed time.Duration) {
-	x := elapsed.Seconds()
+	sample := elapsed.Seconds()
 	if !t.known {
-		t.latency, t.spread, t.known = x, x/2, true
+		t.latency = sample
+		t.spread = sample / initialDeviationDivisor
+		t.known = true
 		return
 	}
-	t.spread += latencyGain * (math.Abs(x-t.latency) - t.spread)
-	t.latency += latencyGain * (x - t.latency)
+	t.spread += latencyGain * (math.Abs(sample-t.latency) - t.spread)
+	t.latency += latencyGain * (sample - t.latency)
 }
 
-// judge takes what a call's outcome says of its endpoint and lane.
-func (s *Sender) assessOutcome(c *call, e AttemptEnded) {
-	ep := c.endpoint
-	s.endedCallEndpoints = append(s.endedCallEndpoints, ep)
+// assessOutcome processes what a call's outcome shows about its endpoint and limit scope.
+func (s *Sender) assessOutcome(call *call, e AttemptEnded) {
+	endpoint := call.endpoint
+	s.endedCallEndpoints = append(s.endedCallEndpoints, endpoint)
 	if e.Report.Limit > 0 {
-		ep.limitScope.reportedLimit = e.Report.Limit
+		endpoint.limitScope.reportedLimit = e.Report.Limit
 	}
 	if e.Outcome == TimedOut || e.Outcome == Cancelled {
-		s.emit(CloseIdle{Endpoint: ep.id})
+		s.emit(CloseIdle{Endpoint: endpoint.id})
 	}
-	switch o := e.Outcome; {
-	case o == OK:
-		s.onSuccess(c, e.Elapsed)
-	case o == Refused:
-		s.onRefusal(ep, c.sentAt, e.RetryAfter)
+	switch outcome := e.Outcome; {
+	case outcome == OK:
+		s.onSuccess(call, e.Elapsed)
+	case outcome == Refused:
+		s.onRefusal(endpoint, call.sentAt, e.RetryAfter)
 	case e.ConnectionLimitReached:
-		s.onConnectionLimit(ep)
-	case o == Cancelled && s.now-c.sentAt > s.lateAfter(ep, c.class()) && s.noAlternative(ep) &&
-		s.treatsAsOutage():
-		s.onFailure(ep, c.sentAt, TimedOut) // given up for its slot, or for silence: no more is learned of a hang
-	case o == TimedOut && s.now-c.sentAt < minLateAfter && s.treatsAsOutage():
-		// its message's time was up: nothing is learned of the endpoint
-	case o != Cancelled && o != NotSent:
-		s.onFailure(ep, c.sentAt, o)
+		s.onConnectionLimit(endpoint)
+	case outcome == Cancelled && s.now-call.sentAt > s.lateAfter(endpoint, call.class()) &&
+		s.noAlternative(endpoint) && s.treatsAsOutage():
+		// Cancelled to free its slot, or as the endpoint was unresponsive: a hang shows in no other way.
+		s.onFailure(endpoint, call.sentAt, TimedOut)
+	case outcome == TimedOut && s.now-call.sentAt < minLateAfter && s.treatsAsOutage():
+		// The message ran out of time: this shows nothing about the endpoint.
+	case outcome != Cancelled && outcome != NotSent:
+		s.onFailure(endpoint, call.sentAt, outcome)
 	}
 	if e.Outcome != OK {
-		s.resetPhase(ep)
+		s.resetPhase(endpoint)
 	}
 	if e.Outcome == Errored || e.Outcome == TimedOut {
-		s.openBreaker(c)
-		s.publishHint(c)
+		s.openBreaker(call)
+		s.publishHint(call)
 	}
 }
 
-// succeeded takes an answer. In probation only one to a call sent since it began starts the ramp: older ones
-// may have been served before the outage. For the same reason one to a call no younger than the last that
-// failed takes back no failure, of many senders: they would go on together.
-func (s *Sender) onSuccess(c *call, elapsed time.Duration) {
-	ep, sent, v := c.endpoint, c.sentAt, c.classHealth()
-	s.answersSinceConnectRefusal[ep.kind]++
-	if !s.stalled { // else the answer may have lain here
-		if v.known {
-			s.slowness += latencyGain * (elapsed.Seconds()/max(v.latency, 1e-3) - s.slowness)
-		}
-		ep.addSample(elapsed)
-		v.addSample(elapsed)
-		s.classTimings[c.class()].addSample(elapsed)
+// onSuccess processes an answer. On probation only the answer to a call sent since probation began starts
+// the slow start: an older call may have been served before the outage. For the same reason, in a large
+// fleet the answer to a call sent before the latest failed one clears no failures, or many senders would go
+// on together.
+func (s *Sender) onSuccess(call *call, elapsed time.Duration) {
+	endpoint, sentAt := call.endpoint, call.sentAt
+	health := call.classHealth()
+	s.answersSinceConnectRefusal[endpoint.kind]++
+	if !s.stalled { // after a stall the answer may have waited in this process
+		s.learnLatency(call, elapsed)
 	}
-	v.consecutiveFailures, v.openUntil = 0, 0
-	outlasted := s.suspicionOutlasted(ep, sent)
-	if ep.consecutiveFailures > 0 && (sent > ep.lastFailedSentAt || !s.treatsAsOutage()) {
-		ep.consecutiveFailures = 0
+	health.consecutiveFailures, health.openUntil = 0, 0
+	outlasted := s.suspicionOutlasted(endpoint, sentAt)
+	if endpoint.consecutiveFailures > 0 && (sentAt > endpoint.lastFailedSentAt || !s.treatsAsOutage()) {
+		endpoint.consecutiveFailures = 0
 	}
-	ep.lastAnsweredAt, ep.connectRefusals, ep.connectNotBefore = s.now, 0, 0
-	ep.lastAnsweredSentAt = max(ep.lastAnsweredSentAt, sent)
-	ep.deliveredRate.add(s.now, trafficSpan, 1)
-	ep.limitScope.consecutiveRefusals, ep.limitScope.lastAnsweredAt = 0, s.now
-	ep.limitScope.controller.expire(s.expiryCheckedAt)
-	ep.limitScope.controller.onSuccess(s.now)
-	cures := ep.unresponsive() || ep.symptom == Refused // silence and refusals ended soon leave nothing cold
+	endpoint.lastAnsweredAt, endpoint.connectRefusals, endpoint.connectNotBefore = s.now, 0, 0
+	endpoint.lastAnsweredSentAt = max(endpoint.lastAnsweredSentAt, sentAt)
+	endpoint.deliveredRate.add(s.now, trafficSpan, 1)
+	endpoint.limitScope.consecutiveRefusals, endpoint.limitScope.lastAnsweredAt = 0, s.now
+	endpoint.limitScope.controller.expire(s.expiryCheckedAt)
+	endpoint.limitScope.controller.onSuccess(s.now)
+
+	afterProbation := endpoint.health == probation && sentAt >= endpoint.healthSince
+	// An endpoint that only refused, or left calls unanswered, for a brief time is not cold.
+	staysWarm := endpoint.unresponsive() || endpoint.symptom == Refused
 	switch {
-	case ep.health == probation && sent >= ep.healthSince && sent-ep.failingSince < maxBriefOutage && cures:
-		s.setHealth(ep, healthy, s.now, CauseBriefOutage)
+	case afterProbation && sentAt-endpoint.failingSince < maxBriefOutage && staysWarm:
+		s.setHealth(endpoint, healthy, s.now, CauseBriefOutage)
 		s.brokenConnections.add(s.now, trafficSpan, 1)
-	case ep.health == probation && sent >= ep.healthSince:
-		ep.lastCharged = s.now
-		s.setHealth(ep, slowStart, s.estimateReturn(ep, sent), CauseAnswered)
-		s.promoteScope(ep)
+	case afterProbation:
+		endpoint.lastCharged = s.now
+		s.setHealth(endpoint, slowStart, s.estimateReturn(endpoint, sentAt), CauseAnswered)
+		s.promoteScope(endpoint)
 	case outlasted:
-		s.slowStartAfterSuspicion(ep, sent)
-	case ep.health == slowStart && s.now-ep.healthSince >= s.settings.WarmUp:
-		s.setHealth(ep, healthy, s.now, CauseWarm)
+		s.slowStartAfterSuspicion(endpoint, sentAt)
+	case endpoint.health == slowStart && s.now-endpoint.healthSince >= s.settings.WarmUp:
+		s.setHealth(endpoint, healthy, s.now, CauseWarm)
+	}
+}
+
+// learnLatency adds the time to an answer to the timings of its endpoint and class.
+func (s *Sender) learnLatency(call *call, elapsed time.Duration) {
+	health := call.classHealth()
+	if health.known {
+		s.slowness += latencyGain * (elapsed.Seconds()/max(health.latency, minDivisor) - s.slowness)
 	}
+	call.endpoint.addSample(elapsed)
+	health.addSample(elapsed)
+	s.classTimings[call.class()].addSample(elapsed)
 }
 
-// failed takes a failure. A brief pause follows; several, of many senders two, start probation. Guards
-// against any outage with a cold return, and many senders each trying once more; a chance run costs a slow
-// start.
-func (s *Sender) onFailure(ep *endpointState, sent time.Duration, why Outcome) {
-	if why == TimedOut && s.laterAnswered(ep, sent) {
-		return // one call lost where others are answered
+// onFailure processes a failed call that was sent at sentAt. A brief pause follows. Several failures in a
+// row, of a large fleet two, start probation. This guards against any outage after which the endpoint is
+// cold, and against many senders that each try once more. The cost of some failures in a row by chance is a
+// slow start.
+func (s *Sender) onFailure(endpoint *endpointState, sentAt time.Duration, outcome Outcome) {
+	if outcome == TimedOut && s.laterAnswered(endpoint, sentAt) {
+		return // a single call was lost while others are answered
 	}
-	if why == ConnectError && s.now-sent < s.settings.ConnectTimeout/2 {
-		s.answersSinceConnectRefusal[ep.kind] = keepOpenAnswers - keepOpenAnswersAfterRefusal
+	// A connect that fails well before its timeout was refused.
+	if outcome == ConnectError && s.now-sentAt < s.settings.ConnectTimeout/2 {
+		s.answersSinceConnectRefusal[endpoint.kind] = keepOpenAnswers - keepOpenAnswersAfterRefusal
 	}
-	ep.lastFailedSentAt = max(ep.lastFailedSentAt, sent)
-	if ep.consecutiveFailures++; ep.consecutiveFailures == 1 && ep.health == healthy {
-		ep.failingSince = sent
+	endpoint.lastFailedSentAt = max(endpoint.lastFailedSentAt, sentAt)
+	endpoint.consecutiveFailures++
+	if endpoint.consecutiveFailures == 1 && endpoint.health == healthy {
+		endpoint.failingSince = sentAt
 	}
-	late := why == Reset && s.now-sent > handshakeTime || why == ConnectError && s.now-sent > minLateAfter
+	late := outcome == Reset && s.now-sentAt > handshakeTime ||
+		outcome == ConnectError && s.now-sentAt > minLateAfter
 	if late && s.treatsAsOutage() {
-		// a hang or a silence may end for all at once: a brief pause spreads nothing
-		ep.consecutiveFailures = max(ep.consecutiveFailures, 2)
+		// A hang, or a time without any answer, may end for all senders at once, and a brief pause would not spread
+		// out their retries.
+		endpoint.consecutiveFailures = max(endpoint.consecutiveFailures, 2)
 	}
-	if ep.health == slowStart && s.treatsAsOutage() {
-		s.restartWarmUp(ep)
+	if endpoint.health == slowStart && s.treatsAsOutage() {
+		s.restartWarmUp(endpoint)
 	}
-	ep.destination.retryNotBefore = s.now + s.failurePause(ep)
-	if ep.health != probation &&
-		(ep.consecutiveFailures >= outageFailures ||
-			ep.consecutiveFailures > 1 && s.noAlternative(ep) && s.treatsAsOutage()) {
-		s.startProbation(ep, why, CauseFailures)
+	endpoint.destination.retryNotBefore = s.now + s.failurePause(endpoint)
+	if endpoint.health != probation &&
+		(endpoint.consecutiveFailures >= outageFailures ||
+			endpoint.consecutiveFailures > 1 && s.noAlternative(endpoint) && s.treatsAsOutage()) {
+		s.startProbation(endpoint, outcome, CauseFailures)
 	}
 }
 
-// connectionLimitReached takes the word that an endpoint holds all the connections it can, which is no
-// failure: it serves who has one, and calls free places. Guards against many senders that try all the time;
-// may be late for one.
-func (s *Sender) onConnectionLimit(ep *endpointState) {
-	s.answersSinceConnectRefusal[ep.kind] = keepOpenAnswers - keepOpenAnswersAfterRefusal
-	ep.connectRefusals = min(ep.connectRefusals+1, outageFailures)
-	pause := ep.typicalLatency() * math.Exp2(float64(ep.connectRefusals)) * (0.5 + s.rng.Float64())
-	ep.connectNotBefore = s.now + seconds(pause)
+// onConnectionLimit processes the report that an endpoint holds all the connections it can. This is no
+// failure: it serves the senders that have one, and calls that end make room. The pause guards against many
+// senders that keep trying. The cost is that a single sender may come late.
+func (s *Sender) onConnectionLimit(endpoint *endpointState) {
+	s.answersSinceConnectRefusal[endpoint.kind] = keepOpenAnswers - keepOpenAnswersAfterRefusal
+	endpoint.connectRefusals = min(endpoint.connectRefusals+1, outageFailures)
+	pause := endpoint.typicalLatency() * math.Exp2(float64(endpoint.connectRefusals)) * s.jitter()
+	endpoint.connectNotBefore = s.now + seconds(pause)
 }
 
-// usually is the time to an answer, in seconds, a guess before the first.
-func (t *timing) typicalLatency() float64 { return cmp.Or(t.latency, initialLateAfter.Seconds()/4) }
+// typicalLatency returns the usual time to an answer in seconds, an assumption before the first answer.
+func (t *timing) typicalLatency() float64 { return cmp.Or(t.latency, initialLatency.Seconds()) }
 
-// suspend puts an endpoint on probation.
-func (s *Sender) startProbation(ep *endpointState, why Outcome, cause Cause) {
-	if ep.health == healthy {
-		ep.preOutageRate = s.measurePreOutageRate(ep)
-		ep.lastFailedSentAt = s.now
+// startProbation puts an endpoint on probation.
+func (s *Sender) startProbation(endpoint *endpointState, outcome Outcome, cause Cause) {
+	if endpoint.health == healthy {
+		endpoint.preOutageRate = s.measurePreOutageRate(endpoint)
+		endpoint.lastFailedSentAt = s.now
 	}
-	ep.symptom, ep.lastCharged = why, s.now
-	ep.probeInterval = s.shareInterval(ep)
-	s.setHealth(ep, probation, s.now, cause)
-	ep.lastCharged = s.randomPhase(ep)
-	if ep.unresponsive() && s.settings.Senders <= smallFleet { // a probe soon, on a fresh connection
-		ep.lastCharged -= s.callInterval(ep)
-		s.emit(CloseIdle{Endpoint: ep.id})
+	endpoint.symptom, endpoint.lastCharged = outcome, s.now
+	endpoint.probeInterval = s.shareInterval(endpoint)
+	s.setHealth(endpoint, probation, s.now, cause)
+	endpoint.lastCharged = s.randomPhase(endpoint)
+	if endpoint.unresponsive() && s.settings.Senders <= smallFleet { // probe soon, on a fresh connection
+		endpoint.lastCharged -= s.callInterval(endpoint)
+		s.emit(CloseIdle{Endpoint: endpoint.id})
 	}
 }
 
-// unanswered tells whether an endpoint is on probation for silence, not for what it answered.
+// unresponsive reports whether an endpoint is on probation for not answering, rather than for what it
+// answered.
 func (ep *endpointState) unresponsive() bool {
 	return ep.symptom == TimedOut || ep.symptom == ConnectError
 }
 
-// opensAt takes the word that a destination is shut until then: it needs no trials, and is cold from then
-// on.
-func (s *Sender) markUnavailableUntil(ep *endpointState, at time.Duration) {
-	ep.limitScope.controller.onRetryAfter(at)
-	for _, o := range ep.destination.endpoints {
-		if o.limitScope == ep.limitScope {
-			if o.health == healthy {
-				s.startProbation(o, Refused, CauseRetryAfter)
-			}
-			s.setHealth(o, slowStart, at, CauseRetryAfter)
-			o.lastCharged = at - seconds(s.callInterval(o).Seconds()*s.rng.Float64())
+// markUnavailableUntil processes a Retry-After that is too long for a limit: the limit scope is unavailable
+// until a known time, needs no probes, and is cold from then on.
+func (s *Sender) markUnavailableUntil(endpoint *endpointState, until time.Duration) {
+	endpoint.limitScope.controller.onRetryAfter(until)
+	for _, other := range endpoint.destination.endpoints {
+		if other.limitScope != endpoint.limitScope {
+			continue
+		}
+		if other.health == healthy {
+			s.startProbation(other, Refused, CauseRetryAfter)
 		}
+		s.setHealth(other, slowStart, until, CauseRetryAfter)
+		other.lastCharged = until - seconds(s.callInterval(other).Seconds()*s.rng.Float64())
 	}
 }
 
-// detectUnresponsive puts endpoints on probation that answer nothing of what they have. A hang never
-// refuses. Fresh connections come first, as one answer may be lost, and sooner where they have lately cured
-// silence.
+// detectUnresponsive puts endpoints on probation that answer none of the calls they have. A hang refuses
+// nothing, so it shows in no other way. Fresh connections are tried first, as a single answer may have been
+// lost, and they are tried sooner if fresh connections have lately brought unresponsive endpoints back.
 func (s *Sender) detectUnresponsive() {
-	dying := s.connectionsUnreliable()
-	s.expiryCheckedAt, s.overdueCalls = s.now, 0
+	unreliable := s.connectionsUnreliable()
+	s.expiryCheckedAt = s.now
+	s.overdueCalls = 0
 	for _, c := range s.calls {
-		out, late := s.now-c.sentAt, s.lateAfter(c.endpoint, c.class())
-		if out > late {
+		inFlightFor := s.now - c.sentAt
+		late := s.lateAfter(c.endpoint, c.class())
+		if inFlightFor > late {
 			s.openBreaker(c)
 			s.overdueCalls++
 		}
-		if out > longOverdueFactor*late {
+		if inFlightFor > longOverdueFactor*late {
 			s.publishHint(c)
 		}
 	}
 	for _, ep := range s.endpointsWithCalls() {
-		late, quiet := s.lateAfter(ep, ep.calls[0].class()), s.unansweredFor(ep)
-		if ep.health == probation || quiet <= late || quiet <= unresponsiveFactor*late && !dying {
+		late := s.lateAfter(ep, ep.calls[0].class())
+		unanswered := s.unansweredFor(ep)
+		if ep.health == probation || unanswered <= late || unanswered <= unresponsiveFactor*late && !unreliable {
 			continue
 		}
 		if ep.health == healthy {
@@ -253,14 +299,16 @@
 	}
 }
 
-// dying tells whether fresh connections have lately cured silence, so that old ones are not to be trusted.
+// connectionsUnreliable reports whether fresh connections have lately brought unresponsive endpoints back,
+// so that old connections may be broken.
 func (s *Sender) connectionsUnreliable() bool {
 	return s.brokenConnections.perSecond(s.now, trafficSpan) > 1/trafficSpan.Seconds()
 }
 
-// yieldConnections closes connections as they fall idle in a crowd, until connects are proven at a kind:
-// idle ones fill tables, and holders are never turned away. Costs handshakes. With calls out, one may be in
-// use.
+// closeIdleConnections closes connections as they become idle, in a large fleet and until a kind of
+// destination has shown that it accepts new ones. Idle connections use up an endpoint's connection limit, and
+// the senders that hold them are never refused. The cost is handshakes. Nothing is closed while calls to the
+// endpoint are in flight.
 func (s *Sender) closeIdleConnections() {
 	for _, ep := range s.endedCallEndpoints {
 		if s.connectionsScarce(ep) && len(ep.calls) == 0 {
@@ -270,15 +318,15 @@
 	s.endedCallEndpoints = s.endedCallEndpoints[:0]
 }
 
-// withdraw calls off what an endpoint left unanswered and may be sent again, to go out on a fresh
-// connection. Guards against connections that died unnoticed; where the endpoint is merely slow it wastes
-// work begun.
-func (s *Sender) renewConnections(ep *endpointState) {
-	for _, c := range ep.calls {
+// renewConnections cancels the calls that an endpoint left unanswered and that may be sent again, so that
+// they go out on a fresh connection. This guards against broken connections that went unnoticed. Where the
+// endpoint is merely slow, the cost is the work it has begun.
+func (s *Sender) renewConnections(endpoint *endpointState) {
+	for _, c := range endpoint.calls {
 		effect := c.attempts[0].message.class.Effect
 		if effect == Safe || effect == Keyed && s.connectionsUnreliable() {
 			s.cancelCall(c)
 		}
 	}
-	s.emit(CloseIdle{Endpoint: ep.id})
+	s.emit(CloseIdle{Endpoint: endpoint.id})
 }
--- a/rules/ratecontrol.go
+++ b/rules/ratecontrol.go
@@ -1,3 +1,7 @@
+// This file owns the rate controller (AIMD) of a limit scope: what a refusal, an answer and a Retry-After
+// do to its rate. Until a refusal it must not limit the rate, and it must never let a call leave before a
+// Retry-After ends.
+
 package rules
 
 import (
@@ -5,52 +9,68 @@
 	"time"
 )
 
-// This file owns the AIMD rate of a lane: what a refusal, an answer and a told wait do to it.
-
 const (
-	decreaseFactor   = 0.7         // the design's DecreaseFactor
-	decreaseCooldown = time.Second // between two cuts
-	increaseInterval = time.Second // between two steps up
-	increaseShare    = 0.1         // share of the rate before the last cut; fixed by the design
-	// a rate measured over fewer says little: a listed one is better
-	minMeasuredCalls   = 2.5
-	minRate            = 1.0                     // calls a second of one sender: traffic is not spread evenly
-	limitExpiry        = 15 * time.Second        // quiet time after which a pace no longer binds
-	largeFleetRateSpan = 12 * time.Second        // span of send and refusal rates in a large fleet
-	smallFleetRateSpan = 3 * time.Second         // span of send and refusal rates
-	outageRefusals     = 3                       // refusals in a row without a success: shut rather than full
-	outageRefusalSpan  = 5 * time.Second         // and over at least this long
-	longRetryAfter     = 2500 * time.Millisecond // a told wait beyond a limit's own: shut
+	// Multiplicative decrease and additive increase.
+	decreaseFactor   = 0.7         // of the rate that a decrease keeps; DecreaseFactor in the design
+	decreaseCooldown = time.Second // between two decreases
+	increaseInterval = time.Second // between two increases
+	increaseShare    = 0.1         // of the rate before the latest decrease; fixed by the design
+
+	// A rate measured over fewer calls says little: a listed one is better.
+	minMeasuredCalls = 2.5
+
+	// Least rate of one sender in calls a second, as traffic is not spread evenly over the senders. After the
+	// first refusal in a row it is 1/16 of that.
+	minRate               = 1.0
+	repeatedRefusalFactor = 1.0 / 16
+
+	// A rate no longer applies after this long without a refusal, a Retry-After or a message that waits for it.
+	// A breaker stays open for at most as long.
+	limitExpiry = 15 * time.Second
+
+	// Time constants of the rates of sends and refusals.
+	largeFleetRateSpan = 12 * time.Second
+	smallFleetRateSpan = 3 * time.Second
+
+	// Refusals come from an outage, and not from a limit, if there are this many in a row without an
+	// answer, over at least this time, or if a Retry-After is longer than a limit's own.
+	outageRefusals    = 3
+	outageRefusalSpan = 5 * time.Second
+	longRetryAfter    = 2500 * time.Millisecond
 )
 
-// onRefusal takes a refusal of a call sent at sentAt. A listed rate seeds the first cut, as the measured
-// rate of a short burst may be far off it; half of this sender's part of it is a minimum, as is least.
-// Guards against a chain of cuts while a limit was low; too much where the list is long out of date.
-func (p *rateController) onRefusal(now, sentAt time.Duration, listed float64, senders int,
-	first, least float64) {
+// onRefusal processes the refusal of a call that was sent at sentAt. The first decrease starts from a
+// listed rate, as the measured rate of a short burst may be far off the limit. The rate stays at or above
+// half of this sender's part of the listed rate, and at or above leastRate. This guards against repeated
+// decreases while a limit was temporarily low. Where the list is long out of date the rate is too high.
+// firstGap is the part of a full gap until the next call after the first decrease.
+func (c *rateController) onRefusal(now, sentAt time.Duration, listed float64, senders int,
+	firstGap, leastRate float64) {
 	span := rateSpan(senders)
-	p.refusedRate.add(now, span, 1)
-	p.lastRefusal = now
-	if p.rate > 0 && (now-p.lastDecrease < decreaseCooldown || sentAt <= p.lastDecrease) {
+	c.refusedRate.add(now, span, 1)
+	c.lastRefusal = now
+	if c.rate > 0 && (now-c.lastDecrease < decreaseCooldown || sentAt <= c.lastDecrease) {
 		return
 	}
-	before, gap := p.rate, 1.0
+	before, gap := c.rate, 1.0
 	if before == 0 {
-		before = max(p.sentRate.perSecond(now, span), p.refusedRate.perSecond(now, span))
-		if part := listed / float64(max(senders, 1)); listed > 0 && before*span.Seconds() < minMeasuredCalls {
+		before = max(c.sentRate.perSecond(now, span), c.refusedRate.perSecond(now, span))
+		part := listed / float64(max(senders, 1))
+		if listed > 0 && before*span.Seconds() < minMeasuredCalls {
 			before = part
 		} else if listed > 0 {
 			before = min(max(before, part), listed)
 		}
-		gap = first
+		gap = firstGap
 	}
-	p.increase = increaseShare * before
-	p.rate = max(before*decreaseFactor, least, listed/float64(2*max(senders, 1)))
-	p.lastDecrease, p.lastChange = now, now
-	p.nextSend = max(p.nextSend, now+seconds(gap/p.rate))
+	c.increase = increaseShare * before
+	c.rate = max(before*decreaseFactor, leastRate, listed/float64(2*max(senders, 1)))
+	c.lastDecrease, c.lastChange = now, now
+	c.nextSend = max(c.nextSend, now+seconds(gap/c.rate))
 }
 
-// rateSpan is the span of send and refusal rates: longer in a crowd, whose senders each call seldom.
+// rateSpan returns the time constant of the rates of sends and refusals. It is longer in a large fleet, whose
+// senders each call seldom.
 func rateSpan(senders int) time.Duration {
 	if senders > smallFleet {
 		return largeFleetRateSpan
@@ -58,79 +78,93 @@
 	return smallFleetRateSpan
 }
 
-// onWait halts the lane for a told wait; the climb clock restarts at its end.
-func (p *rateController) onRetryAfter(until time.Duration) {
-	p.notBefore = max(p.notBefore, until)
-	p.lastChange = max(p.lastChange, p.notBefore)
+// onRetryAfter holds all calls of the limit scope until the given time. The interval between increases
+// restarts at its end.
+func (c *rateController) onRetryAfter(until time.Duration) {
+	c.notBefore = max(c.notBefore, until)
+	c.lastChange = max(c.lastChange, c.notBefore)
 }
 
-// onSuccess climbs one step if the interval has passed and a message waited.
-func (p *rateController) onSuccess(now time.Duration) {
-	if p.rate > 0 && p.lastLimited > p.lastChange && now-p.lastChange >= increaseInterval {
-		p.rate += p.increase
-		p.lastChange = now
+// onSuccess increases the rate by one step if the interval has passed and the rate has held back a message
+// since the latest change.
+func (c *rateController) onSuccess(now time.Duration) {
+	if c.rate > 0 && c.lastLimited > c.lastChange && now-c.lastChange >= increaseInterval {
+		c.rate += c.increase
+		c.lastChange = now
 	}
 }
 
-// lapse unbinds a pace that has seen no refusal for long, as of the last step's time when next looked at. Not
-// while messages wait for it: the backlog would leave in one burst; a limit grown far is found by climbing.
-func (p *rateController) expire(now time.Duration) {
-	if p.rate > 0 && now-max(p.lastRefusal, p.notBefore, p.lastLimited) >= limitExpiry {
-		p.rate, p.nextSend = 0, 0
+// expire drops a rate that has seen no refusal for limitExpiry. The time is that of the latest step,
+// whenever the controller is looked at next. A rate does not expire while messages wait for it, as the
+// backlog would leave in one burst. If the limit has grown a lot, the rate finds it by increases.
+func (c *rateController) expire(now time.Duration) {
+	if c.rate > 0 && now-max(c.lastRefusal, c.notBefore, c.lastLimited) >= limitExpiry {
+		c.rate, c.nextSend = 0, 0
 	}
 }
 
-// onSend takes one call from the pace; an idle lane saves up one call and no more.
-func (p *rateController) onSend(now time.Duration, senders int) {
-	p.sentRate.add(now, rateSpan(senders), 1)
-	if p.rate > 0 {
-		gap := seconds(1 / p.rate)
-		p.nextSend = max(p.nextSend, now-gap) + gap
+// onSend counts a call against the rate. An idle limit scope saves up a single call.
+func (c *rateController) onSend(now time.Duration, senders int) {
+	c.sentRate.add(now, rateSpan(senders), 1)
+	if c.rate > 0 {
+		gap := seconds(1 / c.rate)
+		c.nextSend = max(c.nextSend, now-gap) + gap
 	}
 }
 
-// refused takes a refusal as full: the pace's matter, unless it lasts, which a limit's refusals do not; then
-// the destination is shut and comes back cold. In a crowd the first gap is any part of a whole one, so that
-// not all resume together, and each refusal starts probation: one may be all that a sparse sender sees of a
-// hang, late. The least pace holds for the first refusal in a row only: many at their least would push over
-// what returns from a hang. Guards against a crowd refused all along that returns on a cold destination
-// together (rule 4); costs a ramp where a limit refuses a sparse sender, whose messages handBack gives away.
-func (s *Sender) onRefusal(ep *endpointState, sent, wait time.Duration) {
-	l, first := ep.limitScope, 1.0
-	l.controller.expire(s.expiryCheckedAt)
+// onRefusal processes a refused call. A refusal concerns the rate alone, unless refusals last, which those
+// of a limit do not: then the destination has an outage and is cold when it returns.
+//
+// In a large fleet the gap after the first decrease is a random part of a full one, so that the senders do
+// not all go on together. Each refusal there starts probation, as it may be all that a sender with little
+// traffic sees of a hang, and late. minRate holds for the first refusal in a row only: with many senders at
+// that rate, an endpoint that returns from a hang would be overloaded.
+//
+// This guards against a large fleet that was refused all along and returns to a cold destination together:
+// a destination that recovers must not be overloaded by senders that knew of the outage. The cost is a slow
+// start where a limit refuses a sender with little traffic, whose messages shed then refuses.
+func (s *Sender) onRefusal(endpoint *endpointState, sentAt, retryAfter time.Duration) {
+	scope := endpoint.limitScope
+	scope.controller.expire(s.expiryCheckedAt)
+	firstGap := 1.0
 	if s.settings.Senders > smallFleet {
-		first = s.rng.Float64()
+		firstGap = s.rng.Float64()
 	}
-	// a sixteenth after the first refusal in a row
-	least := minRate / float64(1+15*min(l.consecutiveRefusals, 1))
-	l.controller.onRefusal(s.now, sent, s.knownLimit(ep), s.settings.Senders, first, least)
-	if l.consecutiveRefusals == 0 {
-		l.firstRefusedAt = sent
+	leastRate := minRate
+	if scope.consecutiveRefusals > 0 {
+		leastRate = minRate * repeatedRefusalFactor
 	}
-	l.consecutiveRefusals++
+	scope.controller.onRefusal(s.now, sentAt, s.knownLimit(endpoint), s.settings.Senders, firstGap, leastRate)
+	if scope.consecutiveRefusals == 0 {
+		scope.firstRefusedAt = sentAt
+	}
+	scope.consecutiveRefusals++
 	lasting := s.treatsAsOutage() ||
-		l.consecutiveRefusals >= outageRefusals && s.now-l.firstRefusedAt >= outageRefusalSpan
-	if wait < longRetryAfter && !lasting {
+		scope.consecutiveRefusals >= outageRefusals && s.now-scope.firstRefusedAt >= outageRefusalSpan
+	if retryAfter < longRetryAfter && !lasting {
 		return
 	}
-	for _, other := range ep.destination.endpoints {
-		if other.limitScope == l && other.health != probation {
-			if other.health == healthy {
-				other.failingSince = l.lastAnsweredAt // trouble may be as old: a late refusal tells nothing of its age
-			}
-			s.startProbation(other, Refused, CauseRefusals)
+	for _, other := range endpoint.destination.endpoints {
+		if other.limitScope != scope || other.health == probation {
+			continue
+		}
+		if other.health == healthy {
+			// The outage may be as old as that: a late refusal does not show when it began.
+			other.failingSince = scope.lastAnsweredAt
 		}
+		s.startProbation(other, Refused, CauseRefusals)
 	}
-	if wait < longRetryAfter {
+	if retryAfter < longRetryAfter {
 		return
 	}
-	s.markUnavailableUntil(ep, s.now+wait)
+	s.markUnavailableUntil(endpoint, s.now+retryAfter)
 	if s.settings.MayShareHints {
-		s.emit(PublishHint{Hint{Endpoint: ep.id, RetryAfter: wait}})
+		s.emit(PublishHint{Hint{Endpoint: endpoint.id, RetryAfter: retryAfter}})
 	}
 }
 
-// listedRate is what the registry or the destination itself told of the lane's limit, 0 if nothing.
-func (s *Sender) knownLimit(ep *endpointState) float64 {
-	return cmp.Or(ep.limitScope.reportedLimit, ep.listedRate)
+// knownLimit returns the limit that the destination itself reported, or else the listed rate; 0 if neither is
+// known.
+func (s *Sender) knownLimit(endpoint *endpointState) float64 {
+	return cmp.Or(endpoint.limitScope.reportedLimit, endpoint.listedRate)
 }
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -120,7 +120,7 @@
 	}
 }
 
-// withinDedupScope reports whether a message that may have run is still within the scope of its deduplication
+// withinDedupScope reports whether a message that may have run is within the scope of its deduplication
 // key at an endpoint. The time window of the key is checked by exhausted.
 func withinDedupScope(message *message, endpoint *endpointState) bool {
 	// ranOn is nil if an earlier process sent the message to an endpoint that is no longer listed.
--- a/rules/slowstart.go
+++ b/rules/slowstart.go
@@ -1,3 +1,15 @@
+// This file owns what an endpoint may be sent from the first sign of an outage until it is warm again. One
+// check, slowStartAdmits, applies to every call: first attempts, retries, probes, backlog, and what an
+// earlier process left unfinished. No call may go around it.
+//
+// An informed sender is one that made a call before the end of an outage and saw it fail, be refused, or go
+// unanswered until it was given up. Invariant: whatever the number of senders, the demand, the age of a
+// process and the kind and length of an outage, the calls that informed senders make in a fall window have
+// a mean of at most the part of the budget that budgetFraction returns. It holds because shares never sum
+// to more than the capacity over the fleet (largeFleetShare), because a share is spent evenly from a random
+// phase (randomPhase), and because a single failure that is not followed up at once limits its sender to
+// its share (suspicion.go). docs/design.md derives it and says what senders that saw nothing may add.
+
 package rules
 
 import (
@@ -5,261 +17,310 @@
 	"time"
 )
 
-// This file owns what an endpoint may be sent from the first sign of an outage until it is warm again. One
-// check, admitted, stands before every call: first tries, retries, probes, backlog and what an earlier
-// process left.
-//
-// Informed is a sender that made a call before the end of an outage and saw it fail, be refused, or go
-// unanswered until it was given up. Invariant: whatever the number of senders, the demand, the age of a
-// process and the kind and length of an outage, the calls that informed senders make in a fall window have a
-// mean of at most the part of the budget that budgetPart gives. It holds as shares never sum to more than
-// the capacity over the fleet (capacityShare), as a share is spent evenly from a random phase (phase), and as
-// a single failure brings its sender under this share as soon as it is not followed up at once (doubt.go).
-// docs/design.md derives it and says what senders that saw nothing may add.
+// Sizes of a fleet, in senders.
 const (
-	minShareRate = 0.3 // calls a second of a cold budget, for any sender of a few
-
-	independentFleet    = 7               // up to so many see enough each to tell an outage by themselves
-	smallFleet          = 12              // up to so many share connections and limits with no care for others
-	largeFleet          = 12              // from so many on, one sign of an outage is taken for one
-	listedRateError     = 1.1             // a listed rate that is not exact may be so many times the true one
-	breachShare         = 0.67            // of the calls of a fall: the rule is broken from here on
-	maxUsualLoad        = 0.85            // of its capacity that an endpoint delivers in good times, at most
-	maxPriorSeconds     = 30.0            // seconds in which a sender has a message, if it knows no better
-	unlistedDemandShare = 0.25            // of the demand, where nothing is listed or delivered yet
-	chanceDeviations    = 2.0             // roots of the mean kept free for chance; see budgetPart
-	warmUpCreditShare   = 0.8             // of the time between two probes that counts as warm-up at once
-	outageAgeMargin     = 8 * time.Second // added to an outage's age: others may have seen it so much longer
+	independentFleet = 7  // up to this size each sender sees enough to detect an outage by itself
+	smallFleet       = 12 // up to this size senders use connections and limits without care for the others
+	largeFleet       = 12 // from this size on a single failure counts as an outage
 )
 
-// caution is how far one sign of trouble counts as an outage: not at all with few senders, wholly with many.
-// Between them the two ways of reckoning blend, so that no size is a step.
+const (
+	// Least rate in calls a second that a sender of a small fleet may count on at a warm endpoint.
+	minShareRate = 0.3
+
+	// Unless listed rates are exact, one may be higher than the true rate by this factor.
+	listedRateError = 1.1
+
+	// Share of its capacity that an endpoint delivers in good times, at most.
+	maxUsualLoad = 0.85
+
+	// Share of a sender's demand that stands in for a rate that is neither listed nor measured yet.
+	unlistedDemandShare = 0.25
+
+	// Longest time in seconds in which a sender is assumed to get one message, before it has measured
+	// its traffic.
+	maxPriorSeconds = 30.0
+
+	// Added to the age of an outage, as other senders may have seen it that much earlier.
+	outageAgeMargin = 8 * time.Second
+
+	// Share of the time between two probes that counts as warm-up at once.
+	warmUpCreditShare = 0.8
+
+	// While an outage is young, all senders together make up to this many probes in a time as long as its age so
+	// far. A sender of a smaller fleet probes as one of a fleet of minProbingSenders.
+	probesPerOutageAge = 6
+	minProbingSenders  = 3
+)
+
+// Budget of a cold endpoint; see budgetFraction.
+const (
+	// Share of the calls at which a cold endpoint collapses. The rule that a destination which recovers
+	// must not be overloaded counts as broken from here on.
+	breachShare = 0.67
+
+	// Standard deviations of the number of calls that are kept free for chance. The deviation is the
+	// root of the mean.
+	chanceDeviations = 2.0
+
+	// A cold endpoint bears the calls of its budget and, for chance, two roots of the budget and two
+	// calls. For a budget of less than smallBudget calls it is three roots and three calls.
+	chanceAllowance      = 2
+	smallBudget          = 30
+	smallBudgetAllowance = 3
+)
+
+// failureWeight returns how far a single failure counts as an outage: 0 in a small fleet, 1 in a large one.
+// In between, what follows from either is blended, so that no size of the fleet is a threshold.
 func (s *Sender) failureWeight() float64 {
 	return min(1, max(0, float64(s.settings.Senders-independentFleet)/(largeFleet-independentFleet)))
 }
 
-// cautious draws whether this sender takes one sign of trouble for an outage.
+// treatsAsOutage decides at random, with the probability failureWeight, whether this sender treats a single
+// failure as an outage.
 func (s *Sender) treatsAsOutage() bool {
-	caution := s.failureWeight()
-	return caution > 0 && s.rng.Float64() < caution
+	weight := s.failureWeight()
+	return weight > 0 && s.rng.Float64() < weight
 }
 
-// restore takes over an outage that an earlier process had seen: it may last, or the endpoint may be cold. A
-// few senders find out by themselves what holds now.
-func (s *Sender) restoreOutage(e RememberedOutage) {
-	ep := s.endpoint(e.Endpoint)
-	if ep == nil || ep.health != healthy || !s.treatsAsOutage() {
+// restoreOutage takes over an outage that an earlier process of this sender saw. It may still last, or the
+// endpoint may be cold. In a small fleet the senders find out for themselves.
+func (s *Sender) restoreOutage(remembered RememberedOutage) {
+	endpoint := s.endpoint(remembered.Endpoint)
+	if endpoint == nil || endpoint.health != healthy || !s.treatsAsOutage() {
 		return
 	}
-	ep.failingSince = s.now - max(0, e.Age)
-	s.startProbation(ep, Reset, CauseRestored)
-	ep.preOutageRate = max(ep.preOutageRate, e.Rate)
+	endpoint.failingSince = s.now - max(0, remembered.Age)
+	s.startProbation(endpoint, Reset, CauseRestored)
+	endpoint.preOutageRate = max(endpoint.preOutageRate, remembered.Rate)
 }
 
-// phase is when the last call of an endpoint's share may have been: any part of a gap ago, so that senders
-// which begin to hold back together do not go on together.
-func (s *Sender) randomPhase(ep *endpointState) time.Duration {
-	ep.probeInterval = s.shareInterval(ep)
-	if caution := s.failureWeight(); caution > 0 {
-		return s.now - seconds(caution*s.rng.Float64()*ep.probeInterval.Seconds())
+// randomPhase returns a time at which the latest call of an endpoint's share may have been, a random part
+// of an interval ago, so that senders which are limited from the same moment on do not send at the same
+// moment.
+func (s *Sender) randomPhase(endpoint *endpointState) time.Duration {
+	endpoint.probeInterval = s.shareInterval(endpoint)
+	if weight := s.failureWeight(); weight > 0 {
+		return s.now - seconds(weight*s.rng.Float64()*endpoint.probeInterval.Seconds())
 	}
 	return s.now
 }
 
-// rephase takes a call that ended with no answer while its endpoint was held back. What the share allowed
-// meanwhile is lost: all that a hang held up ends in one moment, and would be followed in that moment.
-func (s *Sender) resetPhase(ep *endpointState) {
-	if ep.health != healthy && s.failureWeight() > 0 {
-		ep.lastCharged = max(ep.lastCharged, s.randomPhase(ep))
+// resetPhase gives up the calls that the share has allowed since the latest one. It follows a call that
+// ended without an answer while its endpoint was limited: all calls that a hang held up end at the same
+// moment, and would be followed by others at that moment.
+func (s *Sender) resetPhase(endpoint *endpointState) {
+	if endpoint.health != healthy && s.failureWeight() > 0 {
+		endpoint.lastCharged = max(endpoint.lastCharged, s.randomPhase(endpoint))
 	}
 }
 
-// spend books a call of an endpoint's share.
-func (s *Sender) chargeCall(ep *endpointState) {
-	ep.lastCharged = s.now
-	if ep.health == probation {
-		ep.probeInterval = s.shareInterval(ep)
+// chargeCall counts a call against the share of its endpoint.
+func (s *Sender) chargeCall(endpoint *endpointState) {
+	endpoint.lastCharged = s.now
+	if endpoint.health == probation {
+		endpoint.probeInterval = s.shareInterval(endpoint)
 	}
 }
 
-// returned is when an endpoint that has answered a probe came back, by what this sender can tell: with its
-// last failure before and this answer after it, half-way between. The mean over the fleet is right, as each
-// sender's probes fall anywhere; counted from the answer, the slow start of senders that seldom probe would
-// never end. While other senders still look for it with their next probe, those that have found it may take
-// most of the time between probes for warm-up: as many of them have found it as the endpoint has warmed up.
-func (s *Sender) estimateReturn(ep *endpointState, answered time.Duration) time.Duration {
-	between := s.failureWeight() * max(0, answered-ep.lastFailedSentAt).Seconds()
-	ep.warmUpCredit = seconds(warmUpCreditShare * between)
+// estimateReturn returns when an endpoint that answered a probe is likely to have come back. In a large
+// fleet that is half-way between this sender's latest failure and the answer, in a small one the time of
+// the answer. Over the fleet the mean of these estimates is right, as each sender's probes fall at random
+// times. Counted from the answer, the slow start of senders that probe seldom would never end.
+//
+// Other senders only find the endpoint with their next probes. Meanwhile those that have found it may count
+// most of the time between probes as warm-up: the share of senders that have found the endpoint grows as it
+// warms up.
+func (s *Sender) estimateReturn(endpoint *endpointState, answeredSentAt time.Duration) time.Duration {
+	between := s.failureWeight() * max(0, answeredSentAt-endpoint.lastFailedSentAt).Seconds()
+	endpoint.warmUpCredit = seconds(warmUpCreditShare * between)
 	return s.now - seconds(between/2)
 }
 
-// promote lets the other endpoints that share a limit with one that is back begin their slow start with it:
-// an outage mostly takes all of a destination, and comes to its end for all. One that is still down fails
-// again soon.
-func (s *Sender) promoteScope(back *endpointState) {
-	for _, other := range back.destination.endpoints {
-		if other.limitScope == back.limitScope && other.health == probation && s.treatsAsOutage() {
-			other.warmUpCredit = back.warmUpCredit
-			s.setHealth(other, slowStart, back.healthSince, CauseInherited)
+// promoteScope lets the other endpoints that share a limit with one that has returned begin their slow
+// start with it: an outage mostly concerns a whole destination and ends for all of it. An endpoint that is
+// still down soon fails again.
+func (s *Sender) promoteScope(returned *endpointState) {
+	for _, other := range returned.destination.endpoints {
+		if other.limitScope == returned.limitScope && other.health == probation && s.treatsAsOutage() {
+			other.warmUpCredit = returned.warmUpCredit
+			s.setHealth(other, slowStart, returned.healthSince, CauseInherited)
 			other.lastCharged = s.randomPhase(other)
 		}
 	}
 }
 
-// notBackYet takes a failure on slow start: what answers some calls and fails others has an outage that goes
-// on, what leaves one unanswered may have a new one, and is cold when that ends. The warm-up begins anew; a
-// chance failure costs what was gained of it.
-func (s *Sender) restartWarmUp(ep *endpointState) {
-	ep.healthSince, ep.warmUpCredit = max(ep.healthSince, s.now), 0
+// restartWarmUp processes a failure during slow start. An endpoint that answers some calls and fails others
+// is still in its outage. One that leaves a call unanswered may have a new outage, and is cold when that
+// ends. The cost of a chance failure is the warm-up so far.
+func (s *Sender) restartWarmUp(endpoint *endpointState) {
+	endpoint.healthSince = max(endpoint.healthSince, s.now)
+	endpoint.warmUpCredit = 0
 }
 
-// deliveredBefore is the rate that this sender delivered to an endpoint before an outage. Right after an
-// answer a sparse sender's rate is too high, as it has just delivered something: of many senders that one
-// does not count.
-func (s *Sender) measurePreOutageRate(ep *endpointState) float64 {
-	rate := ep.deliveredRate.perSecond(ep.deliveredRate.last, trafficSpan)
+// measurePreOutageRate returns the rate that this sender delivered to an endpoint before an outage. Right
+// after an answer the measured rate of a sender with little traffic is too high, so in a large fleet that
+// answer does not count.
+func (s *Sender) measurePreOutageRate(endpoint *endpointState) float64 {
+	rate := endpoint.deliveredRate.perSecond(endpoint.deliveredRate.last, trafficSpan)
 	return max(0, rate-s.failureWeight()/trafficSpan.Seconds())
 }
 
-// warmth is the share of capacity that must be back at an endpoint for the next call. A budget is for a
-// window of calls, of which the last counts the capacity that is back by then: half a window on, for calls
-// at an even rate.
-func (s *Sender) warmCapacity(ep *endpointState) float64 {
+// warmCapacity returns the share of its capacity that an endpoint must have back for the next call. A
+// budget covers the calls of a fall window, of which the last meets the capacity that is back by then. For
+// calls at an even rate that is half a window later on average.
+func (s *Sender) warmCapacity(endpoint *endpointState) float64 {
 	elapsed := 0.0
-	if ep.health == slowStart {
-		mid := (s.now + max(ep.lastCharged, ep.healthSince)) / 2 // as the rate rises evenly since the last call
-		elapsed = max(0, mid-ep.healthSince, ep.warmUpCredit).Seconds()
+	if endpoint.health == slowStart {
+		// The rate has risen evenly since the latest call, so its mean is that of the middle of the time
+		// since then.
+		middle := (s.now + max(endpoint.lastCharged, endpoint.healthSince)) / 2
+		elapsed = max(0, middle-endpoint.healthSince, endpoint.warmUpCredit).Seconds()
 	}
 	elapsed += s.failureWeight() * s.settings.FallWindow.Seconds() / 2
-	warm := min(1, elapsed/max(s.settings.WarmUp.Seconds(), 1e-3))
+	warm := min(1, elapsed/max(s.settings.WarmUp.Seconds(), minDivisor))
 	return s.settings.ColdShare + (1-s.settings.ColdShare)*warm
 }
 
-// peers is how many shares an endpoint's capacity has: one for each sender and endpoint that shares it.
-func (s *Sender) shareCount(ep *endpointState) float64 {
-	peers := float64(max(s.settings.Senders, 1))
-	if !s.kind(ep).RoutesApart {
-		peers *= float64(ep.destination.endpointCount())
+// shareCount returns into how many shares an endpoint's capacity is divided: one for each sender and each
+// endpoint that it shares its limit with.
+func (s *Sender) shareCount(endpoint *endpointState) float64 {
+	shares := float64(max(s.settings.Senders, 1))
+	if !s.kind(endpoint).RoutesApart {
+		shares *= float64(endpoint.destination.endpointCount())
 	}
-	return peers
+	return shares
 }
 
-// fewShare is the calls a second of a warm endpoint that one of a few senders may count on: what it
-// delivered, its part of a listed rate or a least part, whichever is most.
-func (s *Sender) smallFleetShare(ep *endpointState, peers float64) float64 {
-	part := ep.listedRate / peers
+// smallFleetShare returns the calls a second that a sender of a small fleet may count on at a warm
+// endpoint: the most of what it delivered there, its part of the listed rate, and a minimum.
+func (s *Sender) smallFleetShare(endpoint *endpointState, shares float64) float64 {
+	part := endpoint.listedRate / shares
 	if !s.settings.RatesExact {
-		part /= 2 // it may be half too high
+		part /= 2 // a listed rate may be half too high
 	}
-	// no more than its own traffic: after a long outage all sparse senders have something to send
-	least := min(minShareRate,
-		ep.destination.arrivalRate.perSecond(s.now, trafficSpan)/float64(ep.destination.endpointCount()))
-	return max(ep.preOutageRate, part, least)
+	// The minimum is bounded by this sender's own traffic: after a long outage all senders with little
+	// traffic have something to send.
+	ownTraffic := endpoint.destination.arrivalRate.perSecond(s.now, trafficSpan) /
+		float64(endpoint.destination.endpointCount())
+	return max(endpoint.preOutageRate, part, min(minShareRate, ownTraffic))
 }
 
-// capacityShare is the calls a second of a warm endpoint that one of many senders may count on: its part of
-// the listed rate, or what it delivered itself before the outage, if that is more. Equal parts of a listed
-// rate sum to the capacity, and deliveries to no more than it. Where no rate is listed, a part of what it is
-// asked for stands in for that: demand of four times the capacity is within it.
-func (s *Sender) largeFleetShare(ep *endpointState, peers float64) float64 {
-	if ep.listedRate == 0 {
-		wanted := ep.destination.arrivalRate.perSecond(s.now, trafficSpan) / float64(ep.destination.endpointCount())
-		return max(ep.preOutageRate, unlistedDemandShare*wanted)
+// largeFleetShare returns the calls a second that a sender of a large fleet may count on at a warm
+// endpoint: its part of the listed rate or, if that is more, what it delivered itself before the outage.
+// Equal parts of a listed rate sum to the capacity, and deliveries to no more than it. Where no rate is
+// listed, a share of this sender's demand stands in for its part. That is within the capacity up to a
+// demand of four times the capacity.
+func (s *Sender) largeFleetShare(endpoint *endpointState, shares float64) float64 {
+	if endpoint.listedRate == 0 {
+		demand := endpoint.destination.arrivalRate.perSecond(s.now, trafficSpan) /
+			float64(endpoint.destination.endpointCount())
+		return max(endpoint.preOutageRate, unlistedDemandShare*demand)
 	}
-	listed := ep.listedRate / peers
+	part := endpoint.listedRate / shares
 	if s.settings.RatesExact {
-		return max(listed, ep.preOutageRate)
+		return max(part, endpoint.preOutageRate)
 	}
-	return max(listed/listedRateError, ep.preOutageRate/maxUsualLoad)
+	return max(part/listedRateError, endpoint.preOutageRate/maxUsualLoad)
 }
 
-// settled is how much of a rate a process knows that has measured it for so long.
+// measuredFraction returns how much of a rate a process knows after measuring it for the given time, from 0
+// to 1.
 func measuredFraction(measured time.Duration) float64 {
 	return 1 - math.Exp(-max(0, measured).Seconds()/trafficSpan.Seconds())
 }
 
-// informedPart is the part of all senders that must have seen an outage by now: those that had a message for
-// its destination since. Shares of the others lie idle, so each of these may have so much more. Demand is
-// estimated from what came to this sender, and where that is little from the listed rate, as if every sender
-// had its part.
-func (s *Sender) informedFraction(ep *endpointState, share float64) float64 {
-	known := trafficSpan.Seconds() * measuredFraction(s.now-s.startedAt)
-	seen := ep.destination.arrivalRate.perSecond(s.now, trafficSpan) * trafficSpan.Seconds()
-	prior := trafficSpan.Seconds()
-	if ep.listedRate > 0 {
-		prior = min(1/max(share*float64(ep.destination.endpointCount()), 1e-3), maxPriorSeconds)
+// informedFraction returns the fraction of all senders that must have seen an outage by now: those that
+// have had a message for its destination since it began. The shares of the others are not used, so each
+// informed sender may use more. Demand is estimated from the messages that this sender got and, where these
+// are few, from the listed rate, as if every sender had its part.
+func (s *Sender) informedFraction(endpoint *endpointState, share float64) float64 {
+	measuredSeconds := trafficSpan.Seconds() * measuredFraction(s.now-s.startedAt)
+	messages := endpoint.destination.arrivalRate.perSecond(s.now, trafficSpan) * trafficSpan.Seconds()
+	priorSeconds := trafficSpan.Seconds()
+	if endpoint.listedRate > 0 {
+		partOfDestination := share * float64(endpoint.destination.endpointCount())
+		priorSeconds = min(1/max(partOfDestination, minDivisor), maxPriorSeconds)
 	}
-	demand := (1 + seen) / (prior + known)
-	return 1 - math.Exp(-demand*(s.now-ep.failingSince+outageAgeMargin).Seconds())
+	demand := (1 + messages) / (priorSeconds + measuredSeconds)
+	return 1 - math.Exp(-demand*(s.now-endpoint.failingSince+outageAgeMargin).Seconds())
 }
 
-// budgetPart is the part of a budget of so many calls that informed senders may use in the mean: with
-// chanceRoots roots of it on top they stay under the part that breaks the rule of what a cold endpoint
+// budgetFraction returns the fraction of a budget, in calls, that informed senders may use on average: with
+// chanceDeviations standard deviations on top they stay below breachShare of the calls that a cold endpoint
 // bears.
 func budgetFraction(budget float64) float64 {
 	budget = max(budget, 1)
 	root := math.Sqrt(budget)
-	bears := budget + 2*root + 2
-	if budget < 30 {
-		bears = budget + 3*root + 3
+	bears := budget + chanceAllowance*root + chanceAllowance
+	if budget < smallBudget {
+		bears = budget + smallBudgetAllowance*root + smallBudgetAllowance
 	}
+	// Solves mean + chanceDeviations*sqrt(mean) = breachShare*bears for sqrt(mean).
 	meanRoot := (math.Sqrt(chanceDeviations*chanceDeviations+4*breachShare*bears) - chanceDeviations) / 2
 	return meanRoot * meanRoot / budget
 }
 
-// shareGap is the time between calls that this sender's share of an endpoint's slow start budget allows. A
-// share below a call a window is a gap longer than the window. All senders together may always make a call
-// or two.
-func (s *Sender) shareInterval(ep *endpointState) time.Duration {
-	peers, warmth, caution := s.shareCount(ep), s.warmCapacity(ep), s.failureWeight()
+// shareInterval returns the time between calls that this sender's share of an endpoint's slow start budget
+// allows. A share of less than a call in a fall window gives an interval longer than the window. All
+// senders together may always make one call in a window, in a small fleet two.
+func (s *Sender) shareInterval(endpoint *endpointState) time.Duration {
+	shares := s.shareCount(endpoint)
+	capacity := s.warmCapacity(endpoint)
+	weight := s.failureWeight()
 	window := s.settings.FallWindow.Seconds()
 	share := 0.0
-	if caution < 1 {
-		share += (1 - caution) * s.smallFleetShare(ep, peers)
+	if weight < 1 {
+		share += (1 - weight) * s.smallFleetShare(endpoint, shares)
 	}
-	if caution > 0 {
-		part := s.largeFleetShare(ep, peers)
-		budget := s.settings.OverloadFactor * part * peers * warmth * window
-		share += caution * part * budgetFraction(budget) / s.informedFraction(ep, part)
+	if weight > 0 {
+		part := s.largeFleetShare(endpoint, shares)
+		budget := s.settings.OverloadFactor * part * shares * capacity * window
+		share += weight * part * budgetFraction(budget) / s.informedFraction(endpoint, part)
 	}
-	rate := s.settings.OverloadFactor * share * warmth
-	return seconds(min(window*peers/(2-caution), 1/max(rate, 1e-3)))
+	rate := s.settings.OverloadFactor * share * capacity
+	return seconds(min(window*shares/(2-weight), 1/max(rate, minDivisor)))
 }
 
-// gap is the time between calls to an endpoint on probation or on its slow start.
-func (s *Sender) callInterval(ep *endpointState) time.Duration {
-	gap := s.shareInterval(ep)
-	if ep.health == probation { // young trouble cannot have left anything cold
-		gap = min(gap, max(s.now-ep.failingSince, minLateAfter)*time.Duration(max(s.settings.Senders, 3))/6)
-		if ep.symptom == Refused && s.now-ep.failingSince < maxBriefOutage {
-			return 0 // what refuses answers: the pace spaces the trials
-		}
-		// The share shrinks with the age of an outage; what was begun under a larger one is not put off again.
-		if caution := s.failureWeight(); caution > 0 {
-			gap = seconds(caution*ep.probeInterval.Seconds() + (1-caution)*gap.Seconds())
-		}
+// callInterval returns the time between calls to an endpoint on probation or slow start.
+func (s *Sender) callInterval(endpoint *endpointState) time.Duration {
+	interval := s.shareInterval(endpoint)
+	if endpoint.health != probation {
+		return interval
+	}
+	// A young outage cannot have left anything cold, so probes may be more frequent than the share allows.
+	outageAge := max(s.now-endpoint.failingSince, minLateAfter)
+	senders := time.Duration(max(s.settings.Senders, minProbingSenders))
+	interval = min(interval, outageAge*senders/probesPerOutageAge)
+	if endpoint.symptom == Refused && s.now-endpoint.failingSince < maxBriefOutage {
+		return 0 // an endpoint that refuses does answer: the rate controller spaces the probes
+	}
+	// The share shrinks as an outage gets older. An interval that began under a larger share is not extended.
+	if weight := s.failureWeight(); weight > 0 {
+		interval = seconds(weight*endpoint.probeInterval.Seconds() + (1-weight)*interval.Seconds())
 	}
-	return gap
+	return interval
 }
 
-// admitted is the earliest time at which slow start lets a call go to an endpoint: every call passes here.
-func (s *Sender) slowStartAdmits(ep *endpointState) time.Duration {
+// slowStartAdmits returns the earliest time at which slow start lets a call go to an endpoint. Every call
+// is subject to it.
+func (s *Sender) slowStartAdmits(endpoint *endpointState) time.Duration {
 	at := time.Duration(0)
-	if ep.health != healthy {
-		at = ep.lastCharged + s.callInterval(ep)
+	if endpoint.health != healthy {
+		at = endpoint.lastCharged + s.callInterval(endpoint)
 	}
-	if ep.consecutiveFailures > 0 {
-		at = max(at, ep.destination.retryNotBefore)
+	if endpoint.consecutiveFailures > 0 {
+		at = max(at, endpoint.destination.retryNotBefore)
 	}
-	if s.awaitsConfirmation(ep) {
+	if s.awaitsConfirmation(endpoint) {
 		at = max(at, s.now+pollInterval)
 	}
 	return at
 }
 
-// gate is the earliest time at which pace and health let a call go to an endpoint.
-func (s *Sender) earliestSend(ep *endpointState) time.Duration {
-	ep.limitScope.controller.expire(s.expiryCheckedAt)
-	return max(ep.limitScope.controller.notBefore, ep.limitScope.controller.nextSend, ep.connectNotBefore,
-		s.slowStartAdmits(ep))
+// earliestSend returns the earliest time at which rate controller and health let a call go to an endpoint.
+func (s *Sender) earliestSend(endpoint *endpointState) time.Duration {
+	controller := &endpoint.limitScope.controller
+	controller.expire(s.expiryCheckedAt)
+	return max(controller.notBefore, controller.nextSend, endpoint.connectNotBefore, s.slowStartAdmits(endpoint))
 }
