--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,6 +1,6 @@
-// Package http1 reads and writes the part of HTTP/1.1 that the sender speaks, as server and as client: heads and
-// bodies with a stated length. It owns the grammar and the bounds on what a peer may send. It must never open a
-// connection, set a time limit, or know what a message means.
+// Package http1 reads and writes the subset of HTTP/1.1 that the sender uses as server and as client: message heads,
+// and bodies whose length is given by Content-Length. It owns the syntax and the limits on what a peer may send. It
+// must never open a connection, set a deadline, or interpret what a message means.
 package http1
 
 import (
@@ -14,16 +14,20 @@
 	"strings"
 )
 
-// Bounds on what a peer may send.
+// Limits on what a peer may send.
 const (
-	MaxHeadBytes = 16 << 10 // bytes of a head, its lines together
-	MaxFields    = 64       // header lines
-	MaxBodyBytes = 64 << 10 // bytes of a message's body
+	MaxHeadBytes = 16 << 10 // bytes of a head: start line and header fields together
+	MaxFields    = 64       // header fields of a head
+	MaxBodyBytes = 64 << 10 // bytes of a request body
 
-	MaxInterimResponses = 16 // answers (1xx) ahead of the real one
+	MaxInterimResponses = 16 // interim (1xx) responses before the final one
 )
 
-// Error is a fault in what a peer sent. Status is what a server answers to it.
+// maxEmptyLines is how many empty lines before a request line are skipped (RFC 9112, 2.2).
+const maxEmptyLines = 2
+
+// Error reports input that violates the syntax or a limit. Status is the status code with which a server answers it; a
+// server also sends Msg to the client.
 type Error struct {
 	Status int
 	Msg    string
@@ -31,17 +35,19 @@
 
 func (e *Error) Error() string { return e.Msg }
 
+// malformed returns an *Error with status 400.
 func malformed(format string, args ...any) error {
 	return &Error{Status: 400, Msg: fmt.Sprintf(format, args...)}
 }
 
-// Field is one header line.
+// Field is one header field.
 type Field struct{ Name, Value string }
 
-// Header holds header lines in the order in which they came.
+// Header holds header fields in the order in which they were received.
 type Header []Field
 
-// Get returns the value of the first field of that name, "" if there is none. Case does not matter.
+// Get returns the value of the first field with this name, or "" if there is none. Names are compared without regard to
+// case.
 func (h Header) Get(name string) string {
 	for _, f := range h {
 		if strings.EqualFold(f.Name, name) {
@@ -51,13 +57,13 @@
 	return ""
 }
 
-// has tells whether there is a field of that name, whatever its value.
+// has reports whether there is a field with this name, whatever its value.
 func (h Header) has(name string) bool {
 	return slices.ContainsFunc(h, func(f Field) bool { return strings.EqualFold(f.Name, name) })
 }
 
-// lists tells whether a comma-separated field holds a token.
-func (h Header) lists(name, token string) bool {
+// hasToken reports whether a field with this name has the token in its comma-separated list.
+func (h Header) hasToken(name, token string) bool {
 	for _, f := range h {
 		if !strings.EqualFold(f.Name, name) {
 			continue
@@ -71,16 +77,16 @@
 	return false
 }
 
-// Request is the head of a request, with what it says of its body and its connection.
+// Request is the head of a request, with what it says about the body and the connection.
 type Request struct {
 	Method, Target string
 	Header         Header
-	ContentLength  int  // of the body
-	Close          bool // the connection ends after the answer
-	ExpectContinue bool // the client waits for leave to send the body
+	ContentLength  int  // bytes of the body
+	Close          bool // the connection is to be closed after the response
+	ExpectContinue bool // the client waits for a 100 response before it sends the body
 }
 
-// Response is an answer.
+// Response is a response with its body. Close means that the connection cannot be used again.
 type Response struct {
 	Status int
 	Header Header
@@ -88,20 +94,20 @@
 	Close  bool
 }
 
-// ReadRequest reads the head of a request. It returns io.EOF if the peer ended before its first byte, an *Error
-// for what breaks the grammar or the bounds, and the connection's own error otherwise.
+// ReadRequest reads the head of a request. It returns io.EOF if the stream ends before the first byte, an *Error if the
+// head violates the syntax or a limit, and the connection's own error otherwise.
 func ReadRequest(br *bufio.Reader) (*Request, error) {
-	room := MaxHeadBytes
-	line, err := readLine(br, &room)
-	for blank := 0; err == nil && len(line) == 0 && blank < 2; blank++ { // stray line ends between requests
-		line, err = readLine(br, &room)
+	remaining := MaxHeadBytes
+	line, err := readLine(br, &remaining)
+	for skipped := 0; err == nil && len(line) == 0 && skipped < maxEmptyLines; skipped++ {
+		line, err = readLine(br, &remaining)
 	}
 	if err != nil {
 		return nil, err
 	}
-	method, rest, ok1 := strings.Cut(line, " ")
-	target, version, ok2 := strings.Cut(rest, " ")
-	if !ok1 || !ok2 || !isToken(method) || !isTarget(target) {
+	method, rest, hasTarget := strings.Cut(line, " ")
+	target, version, hasVersion := strings.Cut(rest, " ")
+	if !hasTarget || !hasVersion || !isToken(method) || !isTarget(target) {
 		return nil, malformed("bad request line")
 	}
 	minor, err := minorVersion(version)
@@ -109,11 +115,12 @@
 		return nil, err
 	}
 	r := &Request{Method: method, Target: target}
-	if r.Header, err = readHeader(br, &room); err != nil {
-		return nil, noEOF(err)
+	if r.Header, err = readHeader(br, &remaining); err != nil {
+		return nil, unexpectedEOF(err)
 	}
-	// Any such field, empty or not: another reader might go by a coding where this one goes by a length, and take a part
-	// of the body for a request of its own.
+	// Any Transfer-Encoding field is refused, even an empty one. If an intermediary framed the body by the transfer
+	// coding and this server by Content-Length, a part of the body could be read as another request (request smuggling,
+	// RFC 9112, 11.2).
 	if r.Header.has("Transfer-Encoding") {
 		return nil, &Error{Status: 501, Msg: "transfer codings are not supported"}
 	}
@@ -123,65 +130,67 @@
 	if r.ContentLength > MaxBodyBytes {
 		return nil, &Error{Status: 413, Msg: "body too large"}
 	}
-	r.Close = closes(r.Header, minor)
-	r.ExpectContinue = r.Header.lists("Expect", "100-continue")
+	r.Close = closesConnection(r.Header, minor)
+	r.ExpectContinue = r.Header.hasToken("Expect", "100-continue")
 	return r, nil
 }
 
-// ReadBody reads a body of a known length into a slice of its own. The slice grows with what comes, so that a length
-// alone claims no memory.
-func ReadBody(br *bufio.Reader, n int) ([]byte, error) {
-	const first = 4 << 10
-	body := make([]byte, 0, min(n, first))
-	for len(body) < n {
+// ReadBody reads a body of the given length into a new slice. The slice grows as bytes arrive, so that a peer cannot
+// claim memory by announcing a length alone.
+func ReadBody(br *bufio.Reader, length int) ([]byte, error) {
+	const initialCapacity = 4 << 10 // bytes
+	body := make([]byte, 0, min(length, initialCapacity))
+	for len(body) < length {
 		if len(body) == cap(body) {
-			body = slices.Grow(body, min(n-len(body), len(body)))
+			body = slices.Grow(body, min(length-len(body), len(body)))
 		}
-		k, err := br.Read(body[len(body):min(n, cap(body))])
-		body = body[:len(body)+k]
-		if err != nil && len(body) < n {
-			return body, noEOF(err)
+		n, err := br.Read(body[len(body):min(length, cap(body))])
+		body = body[:len(body)+n]
+		if err != nil && len(body) < length {
+			return body, unexpectedEOF(err)
 		}
 	}
 	return body, nil
 }
 
-// ReadResponse reads an answer with a body of at most most bytes, past the interim ones ahead of it.
-func ReadResponse(br *bufio.Reader, most int) (*Response, error) {
+// ReadResponse skips interim responses and reads the final one, with a body of up to maxBody bytes.
+func ReadResponse(br *bufio.Reader, maxBody int) (*Response, error) {
 	for range MaxInterimResponses + 1 {
-		if r, err := ReadOneResponse(br, most); err != nil || r.Status >= 200 {
+		if r, err := ReadOneResponse(br, maxBody); err != nil || r.Status >= 200 {
 			return r, err
 		}
 	}
-	return nil, malformed("too many interim answers")
+	return nil, malformed("too many interim responses")
 }
 
-// ReadPart reads one answer, which may be an interim one. If the first line came and what follows it did not, the
-// response is returned with the error, so that its status can be told.
-func ReadOneResponse(br *bufio.Reader, most int) (*Response, error) {
-	r, length, err := readHead(br)
+// ReadOneResponse reads one response, interim or final. If the status line was read and what follows it was not, it
+// returns the response together with the error, so that the caller still learns the status.
+func ReadOneResponse(br *bufio.Reader, maxBody int) (*Response, error) {
+	r, length, err := readOneResponseHead(br)
 	if err != nil || length == 0 {
 		return r, err
 	}
-	return r, r.readBody(br, length, most)
+	return r, r.readBody(br, length, maxBody)
 }
 
-// ReadResponseHead reads the head of an answer, past the interim ones ahead of it, and leaves its body to the caller: so many
-// bytes, or all to the end of the connection if the length is negative.
+// ReadResponseHead skips interim responses and reads the head of the final one. It leaves the body to the caller:
+// length bytes, or everything up to the end of the connection if length is negative.
 func ReadResponseHead(br *bufio.Reader) (r *Response, length int, err error) {
 	for range MaxInterimResponses + 1 {
-		if r, length, err = readHead(br); err != nil || r.Status >= 200 {
+		if r, length, err = readOneResponseHead(br); err != nil || r.Status >= 200 {
 			return r, length, err
 		}
 	}
-	return nil, 0, malformed("too many interim answers")
+	return nil, 0, malformed("too many interim responses")
 }
 
-func readHead(br *bufio.Reader) (r *Response, length int, err error) {
-	room := MaxHeadBytes
-	line, bad := readLine(br, &room)
-	if bad != nil && line == "" {
-		return nil, 0, bad
+// readOneResponseHead reads the head of one response, interim or final, and the length of its body as
+// [ReadResponseHead] returns it. An error that comes after the status line is returned together with the response.
+func readOneResponseHead(br *bufio.Reader) (r *Response, length int, err error) {
+	remaining := MaxHeadBytes
+	line, lineErr := readLine(br, &remaining)
+	if lineErr != nil && line == "" {
+		return nil, 0, lineErr
 	}
 	version, rest, _ := strings.Cut(line, " ")
 	minor, err := minorVersion(version)
@@ -194,13 +203,13 @@
 		return nil, 0, malformed("bad status line")
 	}
 	r = &Response{Status: status, Close: true}
-	if bad != nil { // in the reason, which means nothing
-		return r, 0, bad
+	if lineErr != nil { // in the reason phrase: the status itself is readable
+		return r, 0, lineErr
 	}
-	if r.Header, err = readHeader(br, &room); err != nil {
-		return r, 0, noEOF(err)
+	if r.Header, err = readHeader(br, &remaining); err != nil {
+		return r, 0, unexpectedEOF(err)
 	}
-	r.Close = closes(r.Header, minor)
+	r.Close = closesConnection(r.Header, minor)
 	if status < 200 || status == 204 || status == 304 {
 		return r, 0, nil
 	}
@@ -208,36 +217,38 @@
 		r.Close = true
 		return r, 0, malformed("transfer codings are not supported")
 	}
-	length, told, err := contentLength(r.Header)
-	if err != nil || !told { // without a length it ends with the connection
+	length, present, err := contentLength(r.Header)
+	if err != nil || !present { // without a length the body ends with the connection
 		r.Close, length = true, -1
 	}
 	return r, length, err
 }
 
-func (r *Response) readBody(br *bufio.Reader, length, most int) (err error) {
-	if length > most {
+// readBody reads a body of the given length, or up to the end of the connection if length is negative.
+func (r *Response) readBody(br *bufio.Reader, length, maxBody int) (err error) {
+	if length > maxBody {
 		r.Close = true
-		return malformed("answer of %d bytes is too large", length)
+		return malformed("response body of %d bytes exceeds the limit of %d", length, maxBody)
 	}
 	if length >= 0 {
 		r.Body, err = ReadBody(br, length)
 		return err
 	}
-	r.Body, err = io.ReadAll(io.LimitReader(br, int64(most)+1))
-	if err == nil && len(r.Body) > most {
-		err = malformed("answer is too large")
+	r.Body, err = io.ReadAll(io.LimitReader(br, int64(maxBody)+1))
+	if err == nil && len(r.Body) > maxBody {
+		err = malformed("response body exceeds the limit of %d bytes", maxBody)
 	}
 	return err
 }
 
-// readLine reads one line of a head without its end. An empty input is io.EOF, a cut one io.ErrUnexpectedEOF. A line
-// with a control character is returned with the error.
-func readLine(br *bufio.Reader, room *int) (string, error) {
+// readLine reads one line of a head, without its line ending, and subtracts its length from what remains of the head's
+// limit. It returns io.EOF if there is no input, io.ErrUnexpectedEOF if the line is truncated, and both the line and an
+// error if the line contains a bare CR or NUL.
+func readLine(br *bufio.Reader, remaining *int) (string, error) {
 	var line []byte
 	for {
 		part, err := br.ReadSlice('\n')
-		if *room -= len(part); *room < 0 {
+		if *remaining -= len(part); *remaining < 0 {
 			return "", malformed("head too large")
 		}
 		line = append(line, part...)
@@ -257,12 +268,13 @@
 	}
 }
 
-func readHeader(br *bufio.Reader, room *int) (Header, error) {
+// readHeader reads header fields up to the empty line that ends the head.
+func readHeader(br *bufio.Reader, remaining *int) (Header, error) {
 	var h Header
 	for {
-		line, err := readLine(br, room)
+		line, err := readLine(br, remaining)
 		if err != nil {
-			return nil, noEOF(err)
+			return nil, unexpectedEOF(err)
 		}
 		if line == "" {
 			return h, nil
@@ -282,30 +294,32 @@
 	}
 }
 
-// contentLength returns the length of the body and whether the header tells it.
-func contentLength(h Header) (n int, told bool, err error) {
-	var text string
+// contentLength returns the value of Content-Length and whether the field is present. Several fields with the same
+// value count as one (RFC 9112, 6.3).
+func contentLength(h Header) (n int, present bool, err error) {
+	var value string
 	for _, f := range h {
 		if !strings.EqualFold(f.Name, "Content-Length") {
 			continue
 		}
-		if told && f.Value != text {
+		if present && f.Value != value {
 			return 0, false, malformed("two lengths")
 		}
-		text, told = f.Value, true
+		value, present = f.Value, true
 	}
-	if !told {
+	if !present {
 		return 0, false, nil
 	}
-	if text == "" || strings.ContainsFunc(text, func(c rune) bool { return c < '0' || c > '9' }) {
+	if value == "" || strings.ContainsFunc(value, func(c rune) bool { return c < '0' || c > '9' }) {
 		return 0, false, malformed("bad length")
 	}
-	if n, err = strconv.Atoi(text); err != nil {
+	if n, err = strconv.Atoi(value); err != nil {
 		return 0, false, &Error{Status: 413, Msg: "body too large"}
 	}
 	return n, true, nil
 }
 
+// minorVersion returns the minor version of HTTP/1.0 or HTTP/1.1, and an error for any other protocol version.
 func minorVersion(version string) (int, error) {
 	switch version {
 	case "HTTP/1.1":
@@ -316,54 +330,60 @@
 	return 0, malformed("bad protocol version")
 }
 
-func closes(h Header, minor int) bool {
-	return h.lists("Connection", "close") || minor == 0 && !h.lists("Connection", "keep-alive")
+// closesConnection reports whether the connection is to be closed after a message with this header.
+func closesConnection(h Header, minor int) bool {
+	return h.hasToken("Connection", "close") || minor == 0 && !h.hasToken("Connection", "keep-alive")
 }
 
+// isToken reports whether s is a token: a valid method or field name (RFC 9110, 5.6.2).
 func isToken(s string) bool {
 	return s != "" && !strings.ContainsFunc(s, func(c rune) bool {
 		return c <= ' ' || c >= 0x7f || strings.ContainsRune(`"(),/:;<=>?@[\]{}`, c)
 	})
 }
 
+// isTarget reports whether s is a request target in origin form: a path, with or without a query.
 func isTarget(s string) bool {
 	return strings.HasPrefix(s, "/") && !strings.ContainsFunc(s, func(c rune) bool { return c <= ' ' || c >= 0x7f })
 }
 
-func noEOF(err error) error {
+// unexpectedEOF replaces io.EOF, for input that ends in the middle of a message.
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// AppendRequest appends a whole request to buf. The length is added to the fields.
+// AppendRequest appends a complete request to buf. It adds Content-Length to the fields, except to those of a GET.
 func AppendRequest(buf []byte, method, target string, fields Header, body []byte) []byte {
 	buf = append(buf, method...)
 	buf = append(buf, ' ')
 	buf = append(buf, target...)
 	buf = append(buf, " HTTP/1.1\r\n"...)
-	return appendRest(buf, fields, body, method != "GET")
+	return appendFieldsAndBody(buf, fields, body, method != "GET")
 }
 
-// AppendResponse appends a whole answer to buf. The length is added to the fields.
+// AppendResponse appends a complete response to buf. It adds Content-Length to the fields, except to those of interim
+// and 204 responses.
 func AppendResponse(buf []byte, status int, fields Header, body []byte) []byte {
 	buf = append(buf, "HTTP/1.1 "...)
 	buf = strconv.AppendInt(buf, int64(status), 10)
 	buf = append(buf, ' ')
-	buf = append(buf, reasons[status]...)
+	buf = append(buf, reasonPhrases[status]...)
 	buf = append(buf, "\r\n"...)
-	return appendRest(buf, fields, body, status >= 200 && status != 204)
+	return appendFieldsAndBody(buf, fields, body, status >= 200 && status != 204)
 }
 
-func appendRest(buf []byte, fields Header, body []byte, length bool) []byte {
+// appendFieldsAndBody appends everything that follows the start line.
+func appendFieldsAndBody(buf []byte, fields Header, body []byte, withLength bool) []byte {
 	for _, f := range fields {
 		buf = append(buf, f.Name...)
 		buf = append(buf, ": "...)
 		buf = append(buf, f.Value...)
 		buf = append(buf, "\r\n"...)
 	}
-	if length {
+	if withLength {
 		buf = append(buf, "Content-Length: "...)
 		buf = strconv.AppendInt(buf, int64(len(body)), 10)
 		buf = append(buf, "\r\n"...)
@@ -372,7 +392,7 @@
 	return append(buf, body...)
 }
 
-var reasons = map[int]string{
+var reasonPhrases = map[int]string{
 	100: "Continue", 200: "OK", 202: "Accepted", 204: "No Content", 400: "Bad Request", 404: "Not Found",
 	405: "Method Not Allowed", 408: "Request Timeout", 409: "Conflict", 413: "Content Too Large",
 	429: "Too Many Requests", 500: "Internal Server Error", 501: "Not Implemented", 503: "Service Unavailable",
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -10,6 +10,7 @@
 	"testing"
 )
 
+// parseRequest reads a request through a buffer that is smaller than most lines.
 func parseRequest(text string) (*Request, []byte, error) {
 	br := bufio.NewReaderSize(strings.NewReader(text), 64)
 	r, err := ReadRequest(br)
@@ -34,7 +35,7 @@
 	}
 }
 
-func TestRequestCloses(t *testing.T) {
+func TestRequestClosesConnection(t *testing.T) {
 	for head, want := range map[string]bool{
 		"GET / HTTP/1.1\r\n\r\n":                                         false,
 		"GET / HTTP/1.1\r\nConnection: keep-alive, Close\r\n\r\n":        true,
@@ -58,14 +59,14 @@
 		"other version":       {"GET / HTTP/2.0\r\n\r\n", 400},
 		"no method":           {" / HTTP/1.1\r\n\r\n", 400},
 		"odd method":          {"G(T / HTTP/1.1\r\n\r\n", 400},
-		"no path":             {"GET x HTTP/1.1\r\n\r\n", 400},
+		"target not a path":   {"GET x HTTP/1.1\r\n\r\n", 400},
 		"space in path":       {"GET /a b HTTP/1.1\r\n\r\n", 400},
 		"control in path":     {"GET /a\x01 HTTP/1.1\r\n\r\n", 400},
 		"line without colon":  {"GET / HTTP/1.1\r\nHost\r\n\r\n", 400},
 		"space before colon":  {"GET / HTTP/1.1\r\nHost : x\r\n\r\n", 400},
 		"folded line":         {"GET / HTTP/1.1\r\nHost: x\r\n y\r\n\r\n", 400},
-		"nul in value":        {"GET / HTTP/1.1\r\nHost: x\x00\r\n\r\n", 400},
-		"bare return":         {"GET / HTTP/1.1\r\nHost: x\ry\r\n\r\n", 400},
+		"NUL in value":        {"GET / HTTP/1.1\r\nHost: x\x00\r\n\r\n", 400},
+		"bare CR":             {"GET / HTTP/1.1\r\nHost: x\ry\r\n\r\n", 400},
 		"two lengths":         {"POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nxx", 400},
 		"negative length":     {"POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n", 400},
 		"signed length":       {"POST / HTTP/1.1\r\nContent-Length: +1\r\n\r\nx", 400},
@@ -74,40 +75,40 @@
 		"length over 64 bits": {"POST / HTTP/1.1\r\nContent-Length: 99999999999999999999\r\n\r\n", 413},
 		"chunked":             {"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 501},
 		"empty coding":        {"POST / HTTP/1.1\r\nTransfer-Encoding:\r\nContent-Length: 1\r\n\r\nx", 501},
-		"coding, second line": {"POST / HTTP/1.1\r\nTransfer-Encoding:\r\nTransfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n", 501},
+		"two coding fields":   {"POST / HTTP/1.1\r\nTransfer-Encoding:\r\nTransfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n", 501},
 		"coding and length":   {"POST / HTTP/1.1\r\nContent-Length: 5\r\ntransfer-encoding: identity\r\n\r\n0\r\n\r\n", 501},
 		"head too long":       {"GET / HTTP/1.1\r\nX: " + strings.Repeat("x", MaxHeadBytes) + "\r\n\r\n", 400},
-		"line without end":    {strings.Repeat("x", MaxHeadBytes+1), 400},
-		"too many lines":      {"GET / HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", MaxFields+1) + "\r\n", 400},
+		"endless line":        {strings.Repeat("x", MaxHeadBytes+1), 400},
+		"too many fields":     {"GET / HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", MaxFields+1) + "\r\n", 400},
 	} {
 		_, _, err := parseRequest(c.text)
-		var fault *Error
-		if !errors.As(err, &fault) || fault.Status != c.status {
+		var httpErr *Error
+		if !errors.As(err, &httpErr) || httpErr.Status != c.status {
 			t.Errorf("%s: got %v, want status %d", name, err, c.status)
 		}
 	}
 }
 
-// Interim answers are skipped, but not without end.
-func TestInterimAnswersAreBounded(t *testing.T) {
-	const interim, last = "HTTP/1.1 102 Processing\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-	if r, err := parseResponse(strings.Repeat(interim, MaxInterimResponses) + last); err != nil || r.Status != 200 {
-		t.Errorf("%d interim answers: %+v, %v", MaxInterimResponses, r, err)
+// Interim responses are skipped up to a limit, so that a peer cannot keep a reader busy for ever.
+func TestInterimResponsesAreBounded(t *testing.T) {
+	const interim, final = "HTTP/1.1 102 Processing\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+	if r, err := parseResponse(strings.Repeat(interim, MaxInterimResponses) + final); err != nil || r.Status != 200 {
+		t.Errorf("%d interim responses: got %+v, error %v", MaxInterimResponses, r, err)
 	}
-	if r, err := parseResponse(strings.Repeat(interim, MaxInterimResponses+1) + last); err == nil {
-		t.Errorf("%d interim answers: %+v, want an error", MaxInterimResponses+1, r)
+	if r, err := parseResponse(strings.Repeat(interim, MaxInterimResponses+1) + final); err == nil {
+		t.Errorf("%d interim responses: got %+v, want an error", MaxInterimResponses+1, r)
 	}
 }
 
-func TestCutRequests(t *testing.T) {
-	whole := "POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc"
-	for n := range len(whole) {
+func TestTruncatedRequests(t *testing.T) {
+	complete := "POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc"
+	for n := range len(complete) {
 		want := io.ErrUnexpectedEOF
 		if n == 0 {
 			want = io.EOF
 		}
-		if _, _, err := parseRequest(whole[:n]); !errors.Is(err, want) {
-			t.Errorf("%q: got %v, want %v", whole[:n], err, want)
+		if _, _, err := parseRequest(complete[:n]); !errors.Is(err, want) {
+			t.Errorf("%q: got %v, want %v", complete[:n], err, want)
 		}
 	}
 }
@@ -120,6 +121,7 @@
 	}
 }
 
+// parseResponse reads a final response with a body of up to 100 bytes.
 func parseResponse(text string) (*Response, error) {
 	return ReadResponse(bufio.NewReaderSize(strings.NewReader(text), 64), 100)
 }
@@ -139,17 +141,18 @@
 	}
 }
 
-// A first line with 200 means delivered, whatever becomes of the rest.
-func TestResponseKeepsStatusOfCutAnswer(t *testing.T) {
-	whole := "HTTP/1.1 200 OK\r\nWait-Ms: 5\r\nContent-Length: 2\r\n\r\nhi"
-	first := strings.Index(whole, "\n") + 1
-	for n := range len(whole) {
-		r, err := parseResponse(whole[:n])
+// A status line with 200 means that the message was delivered, even if the rest of the response is cut off: the
+// response must be returned with the error.
+func TestTruncatedResponseKeepsStatus(t *testing.T) {
+	complete := "HTTP/1.1 200 OK\r\nWait-Ms: 5\r\nContent-Length: 2\r\n\r\nhi"
+	statusLineEnd := strings.Index(complete, "\n") + 1
+	for n := range len(complete) {
+		r, err := parseResponse(complete[:n])
 		if err == nil {
-			t.Errorf("%q: no error", whole[:n])
+			t.Errorf("%q: no error", complete[:n])
 		}
-		if told := r != nil && r.Status == 200; told != (n >= first) {
-			t.Errorf("%q: status told %v, want %v", whole[:n], told, n >= first)
+		if hasStatus := r != nil && r.Status == 200; hasStatus != (n >= statusLineEnd) {
+			t.Errorf("%q: status returned: %v, want %v", complete[:n], hasStatus, n >= statusLineEnd)
 		}
 	}
 }
@@ -164,6 +167,7 @@
 	}
 }
 
+// A request that parses stays within the limits, and parses to the same request after it was encoded again.
 func FuzzReadRequest(f *testing.F) {
 	f.Add([]byte("POST /a HTTP/1.1\r\nContent-Length: 2\r\nReq-Id: x\r\n\r\nhi"))
 	f.Add([]byte("GET / HTTP/1.0\r\nConnection: keep-alive\r\n\r\n"))
@@ -178,19 +182,20 @@
 			return
 		}
 		if len(r.Header) > MaxFields || len(body) > MaxBodyBytes {
-			t.Fatalf("bounds passed: %d lines, %d bytes", len(r.Header), len(body))
+			t.Fatalf("limits exceeded: %d header fields, %d bytes of body", len(r.Header), len(body))
 		}
 		fields := slices.DeleteFunc(slices.Clone(r.Header), func(f Field) bool { return strings.EqualFold(f.Name, "Content-Length") })
-		again, body2, err := parseRequest(string(AppendRequest(nil, r.Method, r.Target, fields, body)))
+		reparsed, rebody, err := parseRequest(string(AppendRequest(nil, r.Method, r.Target, fields, body)))
 		if err != nil && r.Method != "GET" {
-			t.Fatalf("written again it does not parse: %v", err)
+			t.Fatalf("re-encoded, the request does not parse: %v", err)
 		}
-		if err == nil && r.Method != "GET" && (again.Target != r.Target || !bytes.Equal(body, body2)) {
-			t.Fatalf("written again it differs: %+v, %+v", r, again)
+		if err == nil && r.Method != "GET" && (reparsed.Target != r.Target || !bytes.Equal(body, rebody)) {
+			t.Fatalf("re-encoded, the request differs: %+v, %+v", r, reparsed)
 		}
 	})
 }
 
+// A response that parses has a final status and a body within the limit.
 func FuzzReadResponse(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"))
 	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 429 x\r\nWait-Ms: 7\r\n\r\n"))
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,5 +1,5 @@
-// Package socket looks at what lies unread on a connection. It owns nothing; it must never read a byte away from the
-// connection's owner, nor wait.
+// Package socket checks whether a connection has unread input. It keeps no state. It must never consume bytes that the
+// owner of the connection has yet to read, and it must never block.
 package socket
 
 import (
@@ -8,8 +8,9 @@
 	"syscall"
 )
 
-// Silent tells whether neither bytes nor an end have come that the connection's owner has not read yet. It looks past
-// the runtime, whose reads give up without looking once their deadline has passed. What has no socket counts as silent.
+// ReadWouldBlock reports whether a read would find neither bytes nor the end of the stream. It asks the kernel
+// directly, because Go's own reads fail without looking at the socket once the read deadline has passed. It returns
+// true for a connection without a socket.
 func ReadWouldBlock(nc net.Conn) bool {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
@@ -19,11 +20,11 @@
 	if err != nil {
 		return false
 	}
-	silent := false
+	wouldBlock := false
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		silent = errors.Is(err, syscall.EAGAIN)
+		wouldBlock = errors.Is(err, syscall.EAGAIN)
 	})
-	return err == nil && silent
+	return err == nil && wouldBlock
 }
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -8,7 +8,7 @@
 	"eiderhaven/internal/testkit"
 )
 
-func pair(t *testing.T) (client, server net.Conn) {
+func connPair(t *testing.T) (client, server net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -25,28 +25,28 @@
 	return client, server
 }
 
-func TestSilent(t *testing.T) {
-	client, server := pair(t)
+func TestReadWouldBlock(t *testing.T) {
+	client, server := connPair(t)
 	if !ReadWouldBlock(client) {
-		t.Error("a connection on which nothing came is not silent")
+		t.Error("with nothing received, want true")
 	}
 	if _, err := io.WriteString(server, "x"); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Eventually(t, "a byte seen", func() bool { return !ReadWouldBlock(client) })
+	testkit.Eventually(t, "a received byte noticed", func() bool { return !ReadWouldBlock(client) })
 	if n, err := client.Read(make([]byte, 2)); n != 1 || err != nil {
-		t.Errorf("reading what was seen: %d bytes, %v", n, err)
+		t.Errorf("the owner's read after the check: %d bytes, error %v; want 1 byte", n, err)
 	}
 	if !ReadWouldBlock(client) {
-		t.Error("not silent once all was read")
+		t.Error("with everything read, want true")
 	}
 	server.Close()
-	testkit.Eventually(t, "the end seen", func() bool { return !ReadWouldBlock(client) })
+	testkit.Eventually(t, "the end of the stream noticed", func() bool { return !ReadWouldBlock(client) })
 	client.Close()
 	if ReadWouldBlock(client) {
-		t.Error("a closed connection is silent")
+		t.Error("on a closed connection, want false")
 	}
 	if a, _ := net.Pipe(); !ReadWouldBlock(a) {
-		t.Error("what has no socket is not silent")
+		t.Error("on a connection without a socket, want true")
 	}
 }
