--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -1,7 +1,7 @@
-// Package intake is the client side: it accepts connections, reads the messages handed in and writes the
-// exchange's answers. It owns those connections, one goroutine each, and the form of requests (request.go). It must
-// never judge a message by more than its form, leave a request that it has read without an answer, or let clients that
-// send nothing of use keep out others.
+// Package intake is the client side: it accepts connections, reads the messages that clients submit and writes the
+// exchange's answers. It owns those connections, with one goroutine each, and the format of requests (request.go). It
+// must never judge a message by more than its format, leave a request that it has read without a response, or let
+// clients that send nothing useful keep others out.
 package intake
 
 import (
@@ -20,65 +20,78 @@
 	"eiderhaven/internal/socket"
 )
 
-// Limits towards clients.
+// Limits that apply to clients.
 const (
-	clientPatience = 400 * time.Millisecond // a client goes away when it has waited so long (the protocol's figure)
-	lingering      = 200 * time.Millisecond // for a client to read its last answer and close, or to end a request at the end
-	lastLook       = 5 * time.Millisecond   // for a client that makes room, to end a request
-	maxLinger      = 1 << 20                // bytes read meanwhile
-	lingerPart     = 8                      // of the connections: 1/8 may linger beside those that are served
+	clientTimeout = 400 * time.Millisecond // after which clients stop waiting for a response, by the protocol
+
+	// lingerTimeout is the time for a client to read its last response and close, and to complete a request that has
+	// begun when the server closes.
+	lingerTimeout = 200 * time.Millisecond
+
+	evictionGrace  = 5 * time.Millisecond // for a client that is evicted to complete a request
+	maxLingerBytes = 1 << 20              // read and dropped while a connection lingers
+	lingerDivisor  = 8                    // 1/8 of MaxConns may linger while the others are served
+)
+
+// Settings of the server itself.
+const (
+	minAcceptPause      = time.Millisecond // after a failed accept
+	maxAcceptPause      = time.Second
+	disconnectCheckTime = time.Millisecond // how long a read waits to notice that a client has disconnected
+	readBufferBytes     = 4096
 )
 
-// Config is what a server starts from.
+// Config holds the dependencies and limits of a server.
 type Config struct {
 	Exchange       *exchange.Exchange
-	Ready          func() bool
-	Classes        []string
+	Ready          func() bool // whether /health/ready answers 200
+	Classes        []string    // names of the message classes, which are the paths served
 	MaxConns       int
-	RequestTimeout time.Duration // for a client to send one request; for the first, from its connecting
+	RequestTimeout time.Duration // for a client to send one request; the first is timed from the connect
 	IdleTimeout    time.Duration // between two requests
 	Log            *slog.Logger
 }
 
-// Counts is what the server has answered itself, without the exchange.
+// Counts counts requests and how they were handled.
 type Counts struct {
-	Requests     atomic.Int64 // heads read whole, health checks too
+	Requests     atomic.Int64 // read completely, health checks included
 	HealthChecks atomic.Int64
-	Submitted    atomic.Int64 // given to the exchange
-	Rejected     atomic.Int64 // answered as not well formed
-	ClientsGone  atomic.Int64 // clients that left before their answer
+	Submitted    atomic.Int64 // passed to the exchange
+	Rejected     atomic.Int64 // answered with an error before they reached the exchange
+	ClientsGone  atomic.Int64 // clients that disconnected before their response
 }
 
-// Server serves clients.
+// Server serves clients' connections. Create it with New.
 type Server struct {
-	cfg     Config
-	Counts  Counts
-	classes map[string]bool
-	room    chan struct{} // a token for each connection that is served
-	linger  chan struct{} // and for each that lingers beside them; both together are the cap
-	mu      sync.Mutex
-	conns   map[*client]bool
-	closing bool
-	endBy   time.Time // with closing: when all connections must have ended
-	wg      sync.WaitGroup
+	cfg           Config
+	Counts        Counts
+	classes       map[string]bool
+	servedTokens  chan struct{} // one token for each connection that is served
+	lingerTokens  chan struct{} // one for each that lingers; both together hold MaxConns tokens
+	mu            sync.Mutex
+	conns         map[*client]bool
+	closing       bool
+	closeDeadline time.Time // while closing: when all connections must have ended
+	wg            sync.WaitGroup
 }
 
-// New returns a server without connections.
+// New returns a server without connections. Call Serve to accept some.
 func New(cfg Config) *Server {
-	beside := cfg.MaxConns / lingerPart
-	s := &Server{cfg: cfg, classes: map[string]bool{}, room: make(chan struct{}, cfg.MaxConns-beside),
-		linger: make(chan struct{}, beside), conns: map[*client]bool{}}
+	lingerers := cfg.MaxConns / lingerDivisor
+	s := &Server{cfg: cfg, classes: map[string]bool{}, servedTokens: make(chan struct{}, cfg.MaxConns-lingerers),
+		lingerTokens: make(chan struct{}, lingerers), conns: map[*client]bool{}}
 	for _, c := range cfg.Classes {
 		s.classes[c] = true
 	}
 	return s
 }
 
-// Serve accepts connections until the listener is closed. Running out of descriptors only makes it wait.
+// Serve accepts connections until the listener is closed. Other errors of the listener, such as running out of file
+// descriptors, are retried after a pause that doubles up to a second.
 func (s *Server) Serve(ln net.Listener) {
-	s.wg.Add(1) // so that Close waits for what is accepted last, too
+	s.wg.Add(1) // so that Close also waits for the connection accepted last
 	defer s.wg.Done()
-	pause := time.Millisecond
+	pause := minAcceptPause
 	for {
 		nc, err := ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -87,225 +100,235 @@
 		if err != nil {
 			s.cfg.Log.Warn("a connection could not be accepted", "err", err)
 			time.Sleep(pause)
-			pause = min(2*pause, time.Second)
+			pause = min(2*pause, maxAcceptPause)
 			continue
 		}
-		pause = time.Millisecond
-		s.makeRoom()
+		pause = minAcceptPause
+		s.acquireToken()
 		now := time.Now()
-		c := &client{nc: nc, br: bufio.NewReaderSize(nc, 4096), opened: now, since: now}
+		c := &client{nc: nc, br: bufio.NewReaderSize(nc, readBufferBytes), connectedAt: now, idleSince: now}
 		s.mu.Lock()
 		s.conns[c] = true
 		s.mu.Unlock()
-		s.wg.Go(func() { s.serve(c) })
+		s.wg.Go(func() { s.serveConn(c) })
 	}
 }
 
-// makeRoom waits until one more connection is allowed, which is soon: one that is not being answered goes for it, and
-// answers do not take long. It goes by its own hand, so that what it has sent whole by then is still answered.
-func (s *Server) makeRoom() {
+// acquireToken waits until one more connection may be served. At the limit it evicts a connection that is not being
+// answered; as responses do not take long, the wait is short. The evicted connection's own goroutine closes it, so that
+// a request that has been received completely is still answered.
+func (s *Server) acquireToken() {
 	select {
-	case s.room <- struct{}{}:
+	case s.servedTokens <- struct{}{}:
 		return
 	default:
 	}
 	s.mu.Lock()
-	var worst *client
+	var victim *client
 	for c := range s.conns {
-		if c.state != busy && !c.leaving && (worst == nil || c.before(worst)) {
-			worst = c
+		if c.state != busy && !c.draining && (victim == nil || c.evictBefore(victim)) {
+			victim = c
 		}
 	}
-	if worst != nil {
-		worst.leave(time.Now().Add(lastLook))
+	if victim != nil {
+		victim.drain(time.Now().Add(evictionGrace))
 	}
 	s.mu.Unlock()
-	s.room <- struct{}{}
+	s.servedTokens <- struct{}{}
 }
 
-// leave lets a connection serve what has come whole by then, and end. Call it with the server's lock held.
-func (c *client) leave(by time.Time) {
-	c.leaving = true
+// drain makes a connection answer what it has received completely by the deadline, and then close. It must be called
+// with the server's lock held.
+func (c *client) drain(deadline time.Time) {
+	c.draining = true
 	if c.state == idle {
-		by = longAgo // await looks once more
+		deadline = pastDeadline // awaitRequest still checks for bytes that have arrived
 	}
-	c.nc.SetReadDeadline(by)
+	c.nc.SetReadDeadline(deadline)
 }
 
-// before tells whether c makes room rather than d: first those that have not sent a request worth an answer yet, the
-// oldest of them; then those between two requests, the one idle longest; last those within one. Guards against crowds
-// that connect and say nothing, or nothing that can be read, whoever they are. It hurts a client that is slow with its
-// first request while a crowd pushes.
-func (c *client) before(d *client) bool {
-	if c.proven != d.proven {
-		return d.proven
+// evictBefore reports whether c is evicted rather than d. Clients that are not trusted yet go first, the oldest of them
+// before the others; then clients between two requests, the one idle longest first; then clients within a request. This
+// guards against many clients that connect and send nothing, or nothing that can be parsed. Its cost: while many such
+// clients connect, a legitimate client that is slow to send its first request may be evicted.
+func (c *client) evictBefore(d *client) bool {
+	if c.trusted != d.trusted {
+		return d.trusted
 	}
-	if c.proven && c.state != d.state {
+	if c.trusted && c.state != d.state {
 		return c.state == idle
 	}
-	return c.since.Before(d.since)
+	return c.idleSince.Before(d.idleSince)
 }
 
-// Open is the number of connections.
+// OpenConns returns the number of open connections.
 func (s *Server) OpenConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// Close ends every connection between two requests and waits until the context ends at most: for the answers still to be
-// written, for requests that have begun, and for clients to close. The listener must have been closed before.
+// Close ends every connection between two requests. Up to the context's deadline (without one, 2*lingerTimeout) it
+// waits for responses that are still to be written, for requests that have begun to arrive, and for clients to close.
+// The listener must have been closed before.
 func (s *Server) Close(ctx context.Context) {
 	s.mu.Lock()
-	s.closing, s.endBy = true, time.Now().Add(2*lingering)
-	if end, bounded := ctx.Deadline(); bounded {
-		s.endBy = end
+	s.closing, s.closeDeadline = true, time.Now().Add(2*lingerTimeout)
+	if deadline, ok := ctx.Deadline(); ok {
+		s.closeDeadline = deadline
 	}
 	for c := range s.conns {
-		c.leave(s.soon(time.Now()))
-		c.nc.SetWriteDeadline(s.endBy) // a client that sends on and reads nothing has an answer waiting
+		c.drain(s.requestDeadlineOnClose(time.Now()))
+		c.nc.SetWriteDeadline(s.closeDeadline) // ends a write that blocks because the client reads nothing
 	}
 	s.mu.Unlock()
 	s.wg.Wait()
 }
 
-// soon is when a request that has begun must be whole, at the end. Call it with the lock held.
-func (s *Server) soon(now time.Time) time.Time {
-	if at := now.Add(lingering); at.Before(s.endBy) {
-		return at
+// requestDeadlineOnClose returns when a request that has begun must be complete while the server closes. It must be
+// called with the lock held.
+func (s *Server) requestDeadlineOnClose(now time.Time) time.Time {
+	if deadline := now.Add(lingerTimeout); deadline.Before(s.closeDeadline) {
+		return deadline
 	}
-	return s.endBy
+	return s.closeDeadline
 }
 
-// state is what a connection is at.
+// state is the state of a connection.
 type state int
 
 const (
 	idle    state = iota // between two requests
-	reading              // within a request
-	busy                 // a request is whole and owed its answer, or the connection is ending
+	reading              // in the middle of a request
+	busy                 // a request was read and awaits its response, or the connection is being closed
 )
 
-// client is one connection. What the server's lock guards is read by others than its own goroutine.
+// client is a client's connection. One goroutine serves it; the fields guarded by the server's lock are also read or
+// set by others.
 type client struct {
-	nc     net.Conn
-	br     *bufio.Reader
-	buf    []byte
-	opened time.Time
-
-	state   state     // guarded by the server's lock, as are the three below
-	since   time.Time // when it connected or last fell idle
-	proven  bool      // it has sent a request that the exchange or a health check answered
-	leaving bool      // it makes room for another, or the server ends: nothing is read any more but what has come
+	nc          net.Conn
+	br          *bufio.Reader
+	buf         []byte // for responses, reused
+	connectedAt time.Time
+
+	state     state     // guarded by the server's lock, as are the next three fields
+	idleSince time.Time // when it connected or, once it is trusted, last became idle
+	trusted   bool      // one of its requests has earned trust, see response.earnsTrust
+	draining  bool      // it is evicted or the server closes: only what has arrived is still answered
 }
 
-// enter changes a connection's state.
-func (s *Server) enter(c *client, to state) {
+// setState changes a connection's state.
+func (s *Server) setState(c *client, next state) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c.state = to
+	c.state = next
 }
 
-// longAgo as a deadline ends a blocked read at once.
-var longAgo = time.Unix(1, 0)
+// pastDeadline, set as a deadline, makes a blocked read return at once.
+var pastDeadline = time.Unix(1, 0)
 
-// serve is the life of a connection.
-func (s *Server) serve(c *client) {
-	for s.await(c) && s.request(c) {
+// serveConn answers the requests of one connection, then closes it.
+func (s *Server) serveConn(c *client) {
+	for s.awaitRequest(c) && s.serveRequest(c) {
 	}
-	s.end(c)
+	s.closeConn(c)
 }
 
-// end is the one way in which a connection ends: half-close, linger, close. The sending side is shut first, so that the client
-// reads its last answer and then the end; what it has sent meanwhile is read and dropped, never taken on, as a close over
-// unread bytes would reset the connection and take the last answer along. A request that crossed the end goes out again on a
-// new connection, by the protocol. It lasts until the client closes, a fifth of a second at most, or the end of
-// Close; at the room of another client, until no place to linger is left. It hurts by the descriptor held so long.
-func (s *Server) end(c *client) {
+// closeConn closes a connection, and is the only function that does: half-close, linger, close. The sending side is
+// shut down first, so that the client reads its last response and then the end of the stream. What the client sends
+// meanwhile is read and dropped, never accepted: closing with unread bytes would reset the connection, and the reset
+// could destroy the last response before the client has read it (RFC 9112, 9.6). By the protocol, a client sends a
+// request that was dropped this way again on a new connection.
+//
+// It lingers until the client closes, but no longer than lingerTimeout and the deadline of Close. An evicted
+// connection passes its token on and lingers only if a linger token is free. The cost of lingering is a file
+// descriptor held for that time.
+func (s *Server) closeConn(c *client) {
 	s.mu.Lock()
 	c.state = busy
-	by := time.Now().Add(lingering)
+	deadline := time.Now().Add(lingerTimeout)
 	if s.closing {
-		by = s.soon(time.Now())
+		deadline = s.requestDeadlineOnClose(time.Now())
 	}
 	s.mu.Unlock()
-	held := s.room
-	if s.pressed(c) {
+	tokens := s.servedTokens
+	if s.evicted(c) {
 		select {
-		case s.linger <- struct{}{}:
-			<-s.room
-			held = s.linger
+		case s.lingerTokens <- struct{}{}:
+			<-s.servedTokens
+			tokens = s.lingerTokens
 		default:
-			by = longAgo
+			deadline = pastDeadline
 		}
 	}
-	c.half(by)
+	c.closeWriteAndLinger(deadline)
 	c.nc.Close()
 	s.mu.Lock()
 	delete(s.conns, c)
 	s.mu.Unlock()
-	<-held
+	<-tokens
 }
 
-// half shuts the sending side and drops what comes until the client ends, the time is over or much has come.
-func (c *client) half(by time.Time) {
+// closeWriteAndLinger shuts down the sending side and drops what arrives, until the client closes, the deadline
+// passes or maxLingerBytes have been read.
+func (c *client) closeWriteAndLinger(deadline time.Time) {
 	tcp, ok := c.nc.(*net.TCPConn)
 	if !ok || tcp.CloseWrite() != nil {
 		return
 	}
-	c.nc.SetReadDeadline(by)
-	for n := 0; n < maxLinger; {
-		k, err := c.br.Discard(c.br.Size())
-		if n += k; err != nil {
+	c.nc.SetReadDeadline(deadline)
+	for dropped := 0; dropped < maxLingerBytes; {
+		n, err := c.br.Discard(c.br.Size())
+		if dropped += n; err != nil {
 			return
 		}
 	}
 }
 
-// await waits for the first byte of a request. It is false when the connection is to be closed. What has come as the
-// time ends is still read, so that closing crosses few requests.
-func (s *Server) await(c *client) bool {
+// awaitRequest waits for the first byte of a request. It returns false if the connection is to be closed. Bytes that
+// have arrived when the time is over still count, so that few requests meet a connection that is being closed.
+func (s *Server) awaitRequest(c *client) bool {
 	s.mu.Lock()
 	c.state = idle
-	limit := c.opened.Add(s.cfg.RequestTimeout)
-	if c.proven {
-		c.since = time.Now()
-		limit = c.since.Add(s.cfg.IdleTimeout)
+	deadline := c.connectedAt.Add(s.cfg.RequestTimeout)
+	if c.trusted {
+		c.idleSince = time.Now()
+		deadline = c.idleSince.Add(s.cfg.IdleTimeout)
 	}
-	if s.closing || c.leaving {
-		limit = longAgo
+	if s.closing || c.draining {
+		deadline = pastDeadline
 	}
-	c.nc.SetReadDeadline(limit)
+	c.nc.SetReadDeadline(deadline)
 	s.mu.Unlock()
 	_, err := c.br.Peek(1)
 	if errors.Is(err, os.ErrDeadlineExceeded) && !socket.ReadWouldBlock(c.nc) {
 		err = nil
 	}
-	s.enter(c, reading)
+	s.setState(c, reading)
 	return err == nil
 }
 
-// begin limits the time for a request whose first byte has come.
-func (s *Server) begin(c *client, now time.Time) {
+// setRequestDeadline limits the time for a request whose first byte has arrived.
+func (s *Server) setRequestDeadline(c *client, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	end := now.Add(s.cfg.RequestTimeout)
-	if first := c.opened.Add(s.cfg.RequestTimeout); !c.proven && first.Before(end) {
-		end = first
+	deadline := now.Add(s.cfg.RequestTimeout)
+	if first := c.connectedAt.Add(s.cfg.RequestTimeout); !c.trusted && first.Before(deadline) {
+		deadline = first
 	}
-	if soon := s.soon(now); s.closing && soon.Before(end) {
-		end = soon
+	if onClose := s.requestDeadlineOnClose(now); s.closing && onClose.Before(deadline) {
+		deadline = onClose
 	}
-	if last := now.Add(lastLook); c.leaving && !s.closing && last.Before(end) {
-		end = last
+	if onEviction := now.Add(evictionGrace); c.draining && !s.closing && onEviction.Before(deadline) {
+		deadline = onEviction
 	}
-	c.nc.SetDeadline(end)
+	c.nc.SetDeadline(deadline)
 }
 
-// request reads one request and answers it. It tells whether another may follow.
-func (s *Server) request(c *client) bool {
+// serveRequest reads one request and answers it. It reports whether another one may follow on the connection.
+func (s *Server) serveRequest(c *client) bool {
 	arrived := time.Now()
-	s.begin(c, arrived)
+	s.setRequestDeadline(c, arrived)
 	req, err := http1.ReadRequest(c.br)
 	if err != nil {
 		return s.reject(c, err)
@@ -317,80 +340,81 @@
 	if err != nil {
 		return s.reject(c, err)
 	}
-	s.enter(c, busy)
+	s.setState(c, busy)
 	s.Counts.Requests.Add(1)
-	a, taken := s.handle(c, req, body, arrived)
-	if a.status == 0 {
+	resp, acceptedID := s.handle(c, req, body, arrived)
+	if resp.status == 0 {
 		s.Counts.ClientsGone.Add(1)
 		return false
 	}
-	ends := s.prove(c, a.proves) || req.Close
-	if ends {
-		a.fields = append(a.fields, http1.Field{Name: "Connection", Value: "close"})
+	closes := s.updateTrust(c, resp.earnsTrust) || req.Close
+	if closes {
+		resp.fields = append(resp.fields, http1.Field{Name: "Connection", Value: "close"})
 	}
-	s.limitWrite(c)
-	c.buf = http1.AppendResponse(c.buf[:0], a.status, a.fields, []byte(a.text))
+	s.setWriteDeadline(c)
+	c.buf = http1.AppendResponse(c.buf[:0], resp.status, resp.fields, []byte(resp.body))
 	if _, err := c.nc.Write(c.buf); err != nil {
-		if taken != "" {
-			s.cfg.Exchange.Withdraw(taken)
+		if acceptedID != "" {
+			s.cfg.Exchange.Withdraw(acceptedID)
 		}
 		s.Counts.ClientsGone.Add(1)
 		return false
 	}
-	return !ends
+	return !closes
 }
 
-// prove notes that a client has sent something of use, and tells whether its connection is to end.
-func (s *Server) prove(c *client, proves bool) bool {
+// updateTrust records whether a request earned its client trust, and reports whether the connection is to be closed.
+func (s *Server) updateTrust(c *client, earned bool) (closes bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c.proven = c.proven || proves
-	return s.closing || c.leaving
+	c.trusted = c.trusted || earned
+	return s.closing || c.draining
 }
 
-// limitWrite sets when an answer must be written, under the lock, so that Close may set it earlier.
-func (s *Server) limitWrite(c *client) {
+// setWriteDeadline sets when a response must be written. It holds the lock, so that it cannot replace an earlier
+// deadline that Close sets at the same time.
+func (s *Server) setWriteDeadline(c *client) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	end := time.Now().Add(s.cfg.RequestTimeout)
+	deadline := time.Now().Add(s.cfg.RequestTimeout)
 	if s.closing {
-		end = s.endBy
+		deadline = s.closeDeadline
 	}
-	c.nc.SetDeadline(end)
+	c.nc.SetDeadline(deadline)
 }
 
-// pressed tells whether a connection ends to make room for another.
-func (s *Server) pressed(c *client) bool {
+// evicted reports whether a connection closes to make room for another.
+func (s *Server) evicted(c *client) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return c.leaving && !s.closing
+	return c.draining && !s.closing
 }
 
-// reject answers what is not a request, or not whole in its time, and ends the connection. Who had to make room is refused,
-// which makes it harmless to come again.
+// reject answers a request that is malformed or was not complete in time; the connection is closed after it. It always
+// returns false. An evicted client gets a 503, which tells it that sending the request again is harmless.
 func (s *Server) reject(c *client, err error) bool {
 	status := 0
-	var fault *http1.Error
+	var httpErr *http1.Error
 	switch {
-	case errors.As(err, &fault):
-		status = fault.Status
-	case errors.Is(err, os.ErrDeadlineExceeded) && s.pressed(c):
+	case errors.As(err, &httpErr):
+		status = httpErr.Status
+	case errors.Is(err, os.ErrDeadlineExceeded) && s.evicted(c):
 		status = 503
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		status = 408
 	default:
-		return false // it has gone
+		return false // the client has disconnected
 	}
 	s.Counts.Rejected.Add(1)
-	c.nc.SetDeadline(time.Now().Add(lingering))
+	c.nc.SetDeadline(time.Now().Add(lingerTimeout))
 	fields := http1.Header{{Name: "Connection", Value: "close"}}
 	c.nc.Write(http1.AppendResponse(nil, status, fields, []byte(err.Error()+"\n")))
 	return false
 }
 
-// gone tells whether the client has closed its connection.
-func (c *client) gone() bool {
-	c.nc.SetReadDeadline(time.Now().Add(time.Millisecond))
+// disconnected reports whether the client has closed its connection.
+func (c *client) disconnected() bool {
+	c.nc.SetReadDeadline(time.Now().Add(disconnectCheckTime))
 	_, err := c.br.Peek(1)
 	return err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
 }
--- a/internal/intake/request.go
+++ b/internal/intake/request.go
@@ -1,5 +1,5 @@
-// This file owns the form of requests and answers. It must never let a name or number into a message that the
-// endpoint side could not write again.
+// This file owns the format of requests and responses. It must never let an identifier or number into a message that
+// the endpoint side could not write into a call.
 
 package intake
 
@@ -14,21 +14,22 @@
 	"eiderhaven/internal/message"
 )
 
-// answer is what a client is told; status 0 is nothing, as it has gone.
-type answer struct {
-	status int
-	fields http1.Header
-	text   string
-	proves bool // the client has asked for something of use
+// response is what a client is sent. Status 0 means nothing, because the client has disconnected.
+type response struct {
+	status     int
+	fields     http1.Header
+	body       string
+	earnsTrust bool // the request shows a legitimate client, which is evicted later than others
 }
 
 const (
-	maxName     = 200                // characters of a message's name
-	maxDeadline = 7 * 24 * time.Hour // more is a mistake
+	maxIDLength = 200                // characters of a message's ID or idempotency key
+	maxDeadline = 7 * 24 * time.Hour // a later one is taken for a mistake
 )
 
-// handle answers one request. taken names the message if the answer takes one on.
-func (s *Server) handle(c *client, req *http1.Request, body []byte, arrived time.Time) (a answer, taken string) {
+// handle answers one request. acceptedID is the ID of the message if one was accepted.
+func (s *Server) handle(c *client, req *http1.Request, body []byte, arrived time.Time) (
+	resp response, acceptedID string) {
 	path, _, _ := strings.Cut(req.Target, "?")
 	class, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	switch {
@@ -36,73 +37,77 @@
 		s.Counts.HealthChecks.Add(1)
 		return s.health(path, req.Method), ""
 	case !s.classes[class]:
-		return s.bad(404, "no such path"), ""
+		return s.errorResponse(404, "no such path"), ""
 	case req.Method != "POST":
-		return s.notAllowed("POST"), ""
+		return s.methodNotAllowed("POST"), ""
 	}
-	m, err := s.message(class, req, body, arrived)
+	m, err := s.parseMessage(class, req, body, arrived)
 	if err != nil {
-		return s.bad(400, err.Error()), ""
+		return s.errorResponse(400, err.Error()), ""
 	}
 	s.Counts.Submitted.Add(1)
-	got := s.cfg.Exchange.Submit(m)
-	if got.Verdict == exchange.Accepted && time.Since(arrived) > clientPatience && c.gone() {
+	answer := s.cfg.Exchange.Submit(m)
+	// A client that had to wait too long may have disconnected. It then counts the message as not accepted.
+	if answer.Verdict == exchange.Accepted && time.Since(arrived) > clientTimeout && c.disconnected() {
 		s.cfg.Exchange.Withdraw(m.ID)
-		return answer{}, ""
+		return response{}, ""
 	}
-	if got.Verdict == exchange.Accepted {
-		return answer{status: 202, proves: true}, m.ID
+	if answer.Verdict == exchange.Accepted {
+		return response{status: 202, earnsTrust: true}, m.ID
 	}
-	return verdict(got), ""
+	return verdictResponse(answer), ""
 }
 
-func (s *Server) bad(status int, text string) answer {
+// errorResponse counts and returns the response to a request that is not passed to the exchange.
+func (s *Server) errorResponse(status int, text string) response {
 	s.Counts.Rejected.Add(1)
-	return answer{status: status, text: text + "\n"}
+	return response{status: status, body: text + "\n"}
 }
 
-func (s *Server) notAllowed(allowed string) answer {
-	a := s.bad(405, "method not allowed")
-	a.fields = http1.Header{{Name: "Allow", Value: allowed}}
-	return a
+func (s *Server) methodNotAllowed(allowed string) response {
+	resp := s.errorResponse(405, "method not allowed")
+	resp.fields = http1.Header{{Name: "Allow", Value: allowed}}
+	return resp
 }
 
-func (s *Server) health(path, method string) answer {
+// health answers a health check.
+func (s *Server) health(path, method string) response {
 	switch {
 	case method != "GET":
-		return s.notAllowed("GET")
+		return s.methodNotAllowed("GET")
 	case path == "/health/ready" && !s.cfg.Ready():
-		return answer{status: 503, text: "not ready\n"}
+		return response{status: 503, body: "not ready\n"}
 	}
-	return answer{status: 200, text: "ok\n", proves: true}
+	return response{status: 200, body: "ok\n", earnsTrust: true}
 }
 
-// verdict is the exchange's answer, if it did not take the message on.
-func verdict(got exchange.Answer) answer {
-	a := answer{}
-	switch got.Verdict {
+// verdictResponse converts the exchange's answer to a message that it did not accept.
+func verdictResponse(answer exchange.Answer) response {
+	resp := response{}
+	switch answer.Verdict {
 	case exchange.Refused:
-		a.status, a.proves = 429, true
+		resp.status, resp.earnsTrust = 429, true
 	case exchange.Stopped:
-		a.status, a.proves = 503, true
+		resp.status, resp.earnsTrust = 503, true
 	case exchange.Unknown:
-		a.status, a.text = 400, "no such destination\n"
+		resp.status, resp.body = 400, "no such destination\n"
 	case exchange.Duplicate:
-		a.status, a.text = 409, "a message of that name is held\n"
+		resp.status, resp.body = 409, "a message of that name is held\n"
 	default:
-		a.status, a.proves = 500, true
+		resp.status, resp.earnsTrust = 500, true
 	}
-	if got.RetryAfter > 0 {
-		value := strconv.FormatFloat(got.RetryAfter.Seconds(), 'f', 3, 64)
-		a.fields = http1.Header{{Name: "Retry-After", Value: value}}
+	if answer.RetryAfter > 0 {
+		value := strconv.FormatFloat(answer.RetryAfter.Seconds(), 'f', 3, 64)
+		resp.fields = http1.Header{{Name: "Retry-After", Value: value}}
 	}
-	return a
+	return resp
 }
 
-// message decodes a message that was handed in on the path of a class.
-func (s *Server) message(class string, req *http1.Request, body []byte, arrived time.Time) (*message.Message, error) {
+// parseMessage decodes a message that was submitted on the path of a class.
+func (s *Server) parseMessage(class string, req *http1.Request, body []byte, arrived time.Time) (
+	*message.Message, error) {
 	id := req.Header.Get("Req-Id")
-	if !validName(id) {
+	if !validIdentifier(id) {
 		return nil, fmt.Errorf("bad Req-Id")
 	}
 	if kind := req.Header.Get("Req-Kind"); kind != class {
@@ -113,25 +118,34 @@
 		return nil, fmt.Errorf("bad Req-Deadline-Ms")
 	}
 	key := req.Header.Get("Idempotency-Key")
-	if key != "" && !validName(key) {
+	if key != "" && !validIdentifier(key) {
 		return nil, fmt.Errorf("bad Idempotency-Key")
 	}
-	dest, ok := destination(req.Header.Get("Envelope"))
+	dest, ok := parseDestination(req.Header.Get("Envelope"))
 	if !ok {
 		return nil, fmt.Errorf("bad Envelope")
 	}
-	return &message.Message{ID: id, Class: class, Dest: dest, Tenant: req.Header.Get("Req-Owner"), IdempotencyKey: key, Body: body,
-		Deadline: arrived.Add(time.Duration(ms) * time.Millisecond)}, nil
+	return &message.Message{
+		ID:             id,
+		Class:          class,
+		Dest:           dest,
+		Tenant:         req.Header.Get("Req-Owner"),
+		IdempotencyKey: key,
+		Deadline:       arrived.Add(time.Duration(ms) * time.Millisecond),
+		Body:           body,
+	}, nil
 }
 
-func validName(id string) bool {
-	return id != "" && len(id) <= maxName &&
+// validIdentifier reports whether id can be an ID or a key: visible ASCII characters, up to maxIDLength of them.
+func validIdentifier(id string) bool {
+	return id != "" && len(id) <= maxIDLength &&
 		!strings.ContainsFunc(id, func(c rune) bool { return c <= ' ' || c >= 0x7f })
 }
 
-// destination finds the number of the destination among an envelope's pairs.
-func destination(envelope string) (int, bool) {
-	pairs := strings.FieldsFunc(envelope, func(c rune) bool { return strings.ContainsRune(";,& \t", c) })
+// parseDestination returns the number of the destination from the pairs of an Envelope field, such as "dest=7; x=y".
+func parseDestination(envelope string) (int, bool) {
+	isSeparator := func(c rune) bool { return strings.ContainsRune(";,& \t", c) }
+	pairs := strings.FieldsFunc(envelope, isSeparator)
 	for _, pair := range pairs {
 		if value, ok := strings.CutPrefix(pair, "dest="); ok {
 			n, err := strconv.ParseUint(value, 10, 31)
