--- a/internal/outbound/call.go
+++ b/internal/outbound/call.go
@@ -1,5 +1,5 @@
-// This file owns the form of calls and answers on the wire. It must never give an outcome that the answer does not
-// bear out: what cannot be read counts as what may have run.
+// This file owns the format of calls and responses on the wire. It must never return an outcome that the response does
+// not prove: with a response that cannot be read, the call may have run.
 
 package outbound
 
@@ -17,11 +17,11 @@
 )
 
 const (
-	maxAnswer = 64 << 10
-	maxKept   = 16 << 10 // a larger buffer is not kept for the next call
+	maxResponseBytes   = 64 << 10 // body of a response
+	maxKeptBufferBytes = 16 << 10 // a connection keeps no larger buffer for its next call
 )
 
-// appendCall encodes a call.
+// appendCall appends the request that makes a call.
 func appendCall(buf []byte, call *exchange.Call) []byte {
 	fields := http1.Header{{Name: "Host", Value: call.To.Addr},
 		{Name: "Req-Deadline-Ms", Value: strconv.FormatInt(max(1, call.Timeout.Milliseconds()), 10)}}
@@ -33,14 +33,14 @@
 		}
 		return http1.AppendRequest(buf, "POST", "/receive", fields, m.Body)
 	}
-	return http1.AppendRequest(buf, "POST", "/receive-many", fields, frames(call.Items))
+	return http1.AppendRequest(buf, "POST", "/receive-many", fields, batchBody(call.Items))
 }
 
-// frames is the body of a call with several messages: for each a line with its name, its key and its length, then
-// its bytes.
-func frames(list []*message.Message) []byte {
+// batchBody returns the body of a call with several messages: for each message a line with its ID, its idempotency key
+// ("-" for none) and its length, then its bytes.
+func batchBody(messages []*message.Message) []byte {
 	var body []byte
-	for _, m := range list {
+	for _, m := range messages {
 		body = append(body, m.ID...)
 		body = append(body, ' ')
 		body = append(body, cmp.Or(m.IdempotencyKey, "-")...)
@@ -53,41 +53,44 @@
 	return body
 }
 
-// same gives every message of a call the same result.
-func same(call *exchange.Call, r exchange.ItemResult) []exchange.ItemResult {
-	out := make([]exchange.ItemResult, len(call.Items))
-	for i := range out {
-		out[i] = r
+// sameResults returns the same result for every message of a call.
+func sameResults(call *exchange.Call, r exchange.ItemResult) []exchange.ItemResult {
+	results := make([]exchange.ItemResult, len(call.Items))
+	for i := range results {
+		results[i] = r
 	}
-	return out
+	return results
 }
 
-// outcomes reads an answer. lost is the outcome where none came: it may have run. So may what got a spoilt answer,
-// whatever its first line says: a refusal that cannot be read whole proves nothing. Only a 200 to a call with one
-// message stands. A wait is told by any answer whose header came whole, spoilt behind it or not. fresh tells that it is the
-// connection's first answer.
+// itemResults returns the results of a call's messages from its response. lost is the outcome without a response: the
+// call may have run. It also applies to an invalid or truncated response, whatever its status line says, because a
+// refusal that was not received completely proves nothing; the one exception is a 200 to a call with one message. A
+// retry-after counts as soon as the header was received completely, even if the body is invalid. first reports whether
+// this is the first response on its connection.
 //
-// A 503 that ends a fresh connection turns away the connection, not the call: the endpoint holds as many as it can
-// (the protocol's "too many connections"), and to the module that is no connection had. Guards against taking a full
-// table for a limit on calls, which cuts paces and leaves idle connections where they are. Wrong where a peer closes
-// after each answer and refuses the first call for its load: then the module sees failures where a pace would do.
-func outcomes(call *exchange.Call, resp *http1.Response, err error, lost rules.Outcome, fresh bool) []exchange.ItemResult {
+// A 503 that closes a connection with its first response refuses the connection, not the call: the endpoint has reached
+// its limit of connections (the protocol's "too many connections"), and the module is told that no connection could be
+// opened. Otherwise that limit would be taken for a limit on calls, which lowers the rates of calls and leaves idle
+// connections open. The rule is wrong for an endpoint that closes after every response and refuses the first call
+// because of its load: the module then sees failures where a lower rate would do.
+func itemResults(call *exchange.Call, resp *http1.Response, err error, lost rules.Outcome, first bool) (
+	results []exchange.ItemResult) {
 	single := len(call.Items) == 1
 	if resp == nil {
-		return same(call, exchange.ItemResult{Outcome: lost})
+		return sameResults(call, exchange.ItemResult{Outcome: lost})
 	}
-	r := exchange.ItemResult{Outcome: lost, RetryAfter: told(resp.Header)}
+	r := exchange.ItemResult{Outcome: lost, RetryAfter: retryAfter(resp.Header)}
 	if err != nil {
 		if single && resp.Status == 200 {
 			r.Outcome = rules.OK
 		}
-		return same(call, r)
+		return sameResults(call, r)
 	}
-	r.Report = report(resp.Header)
+	r.Report = loadReport(resp.Header)
 	switch resp.Status {
 	case 200:
 		if !single {
-			return each(call, string(resp.Body), r)
+			return batchResults(call, string(resp.Body), r)
 		}
 		r.Outcome = rules.OK
 	case 429:
@@ -96,27 +99,28 @@
 		switch {
 		case resp.Header.Get("Slots-Taken") == "1":
 			r.Outcome, r.NoFreeSlot = rules.NotSent, true
-		case fresh && resp.Close:
+		case first && resp.Close:
 			r.Outcome, r.ConnectionLimitReached = rules.ConnectError, true
 		default:
 			r.Outcome = rules.Refused
 		}
-	case 504:
+	case 504: // no attempts left
 		r.Outcome = rules.NotSent
-	case 410:
+	case 410: // the endpoint needs the message no more
 		r.Outcome, r.Finished = rules.NotSent, true
 	default:
 		r.Outcome = rules.Errored
+		// a batch that is refused for its format or size has not run
 		if !single && (resp.Status == 400 || resp.Status == 413) {
 			r.Outcome = rules.NotSent
 		}
 	}
-	return same(call, r)
+	return sameResults(call, r)
 }
 
-// end is what the word in an answer to several messages says of one of them.
-func end(word string) (r exchange.ItemResult, known bool) {
-	switch word {
+// batchItemResult returns the result that a status word stands for in the response to a call with several messages.
+func batchItemResult(status string) (r exchange.ItemResult, known bool) {
+	switch status {
 	case "accepted":
 		return exchange.ItemResult{Outcome: rules.OK}, true
 	case "fault":
@@ -131,57 +135,59 @@
 	return exchange.ItemResult{}, false
 }
 
-// each reads the answer to a call with several messages: a line for each. If any line cannot be read, names no message
-// of the call or one twice, or is missing, the answer is spoilt and all of them may have run.
-func each(call *exchange.Call, body string, common exchange.ItemResult) []exchange.ItemResult {
+// batchResults reads the response to a call with several messages: a line with ID and status word for each. If a line
+// cannot be read, is missing, or has an ID twice or one that is not in the call, the response is invalid and every
+// message may have run.
+func batchResults(call *exchange.Call, body string, common exchange.ItemResult) []exchange.ItemResult {
 	lost := common
 	lost.Outcome = rules.Reset
-	told := map[string]string{}
+	statuses := map[string]string{} // by message ID
 	for line := range strings.Lines(body) {
 		words := strings.Fields(line)
-		if len(words) != 2 || told[words[0]] != "" {
-			return same(call, lost)
+		if len(words) != 2 || statuses[words[0]] != "" {
+			return sameResults(call, lost)
 		}
-		told[words[0]] = words[1]
+		statuses[words[0]] = words[1]
 	}
-	out := same(call, common)
+	results := sameResults(call, common)
 	for i, m := range call.Items {
-		r, known := end(told[m.ID])
+		r, known := batchItemResult(statuses[m.ID])
 		if !known {
-			return same(call, lost)
+			return sameResults(call, lost)
 		}
-		out[i].Outcome, out[i].Finished = r.Outcome, r.Finished
+		results[i].Outcome, results[i].Finished = r.Outcome, r.Finished
 	}
-	if len(told) != len(call.Items) {
-		return same(call, lost)
+	if len(statuses) != len(call.Items) {
+		return sameResults(call, lost)
 	}
-	return out
+	return results
 }
 
-// mostWait is the longest wait believed: more is a slip of the other side's, which would shut a destination for good.
-const mostWait = time.Hour
+// maxRetryAfter limits the retry-after of an endpoint. A longer one is taken for a mistake of the endpoint, which would
+// otherwise block the destination for good.
+const maxRetryAfter = time.Hour
 
-// told is the wait that an answer asks for, 0 if none: the longest of those told, in whole or decimal milliseconds. What is
-// not such a number tells none and takes nothing from another.
-func told(h http1.Header) (longest time.Duration) {
+// retryAfter returns the time after which a response allows the next call, 0 if it gives none. Wait-Ms holds whole or
+// decimal milliseconds; of several fields the longest counts, and fields with anything else are ignored.
+func retryAfter(h http1.Header) (longest time.Duration) {
 	for _, f := range h {
 		if !strings.EqualFold(f.Name, "Wait-Ms") || strings.Trim(f.Value, "0123456789.") != "" {
 			continue
 		}
-		ms, _ := strconv.ParseFloat(f.Value, 64) // 0 for no number, infinite for one beyond all range
-		longest = max(longest, time.Duration(min(ms*float64(time.Millisecond), float64(mostWait))))
+		ms, _ := strconv.ParseFloat(f.Value, 64) // on an error 0, or infinity if out of range; both are fine
+		longest = max(longest, time.Duration(min(ms*float64(time.Millisecond), float64(maxRetryAfter))))
 	}
 	return longest
 }
 
-// report is what an answer tells of the destination's limit. One that cannot be read whole tells nothing.
-func report(h http1.Header) rules.Report {
+// loadReport returns what a response reports of the destination's limit: nothing if the report is not fully valid.
+func loadReport(h http1.Header) rules.Report {
 	var fields map[string]float64
 	if text := h.Get("Srv-Load"); text == "" || json.Unmarshal([]byte(text), &fields) != nil {
 		return rules.Report{}
 	}
-	for _, v := range fields {
-		if v < 0 {
+	for _, value := range fields {
+		if value < 0 {
 			return rules.Report{}
 		}
 	}
--- a/internal/outbound/outbound.go
+++ b/internal/outbound/outbound.go
@@ -1,6 +1,6 @@
-// Package outbound is the endpoint side: it makes the calls that the exchange hands out, over connections that it
-// keeps while they are worth keeping. It owns those connections, one goroutine each, and the calls' form on the
-// wire (call.go). It must never send a call twice, choose an endpoint, or wait longer than it is told.
+// Package outbound is the endpoint side: it makes the calls that the exchange starts, over connections that it keeps
+// for reuse. It owns those connections, with one goroutine each, and the format of calls on the wire (call.go). It
+// must never send a call twice, choose an endpoint, or wait longer than its timeouts and the exchange allow.
 package outbound
 
 import (
@@ -21,169 +21,183 @@
 	"eiderhaven/rules"
 )
 
-// Config is what a pool starts from.
+// Config holds the limits of a pool, and where it delivers results.
 type Config struct {
 	ConnectTimeout time.Duration
-	KeepAlive      time.Duration // the endpoints' side closes idle connections after this
+	KeepAlive      time.Duration // after which endpoints close idle connections
 	MaxConns       int
-	Finish         func(*exchange.Call, exchange.Result)
+	Finish         func(*exchange.Call, exchange.Result) // receives the result of each call
 }
 
-// Pool makes calls.
+// Pool makes calls over a set of connections. Create it with New.
 type Pool struct {
-	cfg  Config
-	mu   sync.Mutex
-	idle map[exchange.Peer][]*conn // the last used last
-	open int                       // connections and attempts at one
-	shut bool
-	wg   sync.WaitGroup
-
-	dial   func(ctx context.Context, network, address string) (net.Conn, error)
-	moment time.Duration // before the last byte of a call, at least
-	reset  atomic.Int64  // when a connection was last reset under a call, in Unix milliseconds
+	cfg       Config
+	mu        sync.Mutex
+	idle      map[exchange.Peer][]*conn // most recently used last
+	openConns int                       // open connections and those being opened
+	closed    bool
+	wg        sync.WaitGroup
+
+	dial        func(ctx context.Context, network, address string) (net.Conn, error)
+	minHoldBack time.Duration // initial minHoldBack of each connection
+	lastReset   atomic.Int64  // when a connection was last reset during a call, in Unix milliseconds
 }
 
 // New returns a pool without connections.
 func New(cfg Config) *Pool {
 	d := net.Dialer{KeepAlive: -1}
-	return &Pool{cfg: cfg, idle: map[exchange.Peer][]*conn{}, dial: d.DialContext, moment: leastMoment}
+	return &Pool{cfg: cfg, idle: map[exchange.Peer][]*conn{}, dial: d.DialContext, minHoldBack: defaultMinHoldBack}
 }
 
-// conn is one connection. Its goroutine reads while it is idle, so that it sees the other side close it; a call is
-// handed to it through next, by making that read time out.
+// conn is one connection. While it is idle, its goroutine reads, so that it notices when the endpoint closes it. To
+// give it a call, set next and make that read time out.
 type conn struct {
-	nc     net.Conn
-	br     *bufio.Reader
-	buf    []byte
-	trip   time.Duration // how long it took to open
-	moment time.Duration // before the last byte of a call, at least
-	since  time.Time     // idle since
-	used   bool          // it has carried a call
-	next   *job          // guarded by the pool's lock
+	nc          net.Conn
+	br          *bufio.Reader
+	buf         []byte        // for the next request, reused
+	connectTime time.Duration // how long it took to connect: about a round trip
+	minHoldBack time.Duration // shortest time for which the last byte of a call is held back, see writeCall
+	idleSince   time.Time     // when it last became idle
+	used        bool          // it has carried a call
+	next        *job          // guarded by the pool's lock
 }
 
-// job is a call with what is needed to give it up.
+// job is a call in progress, with what is needed to cancel it.
 type job struct {
-	call   *exchange.Call
-	mu     sync.Mutex
-	given  bool // up
-	out    bool // its last byte is written, or is being written
-	late   bool // the time in which it had to leave was over before that
-	nc     net.Conn
-	undial context.CancelFunc
+	call          *exchange.Call
+	mu            sync.Mutex
+	cancelled     bool // by Cancel or Recall
+	committed     bool // its last byte has been or is being written
+	missedWriteBy bool // the call's WriteBy had passed before that
+	nc            net.Conn
+	cancelDial    context.CancelFunc
 }
 
-// Time limits within a call. The moment before a call's last byte is the time in which its connection was opened, a
-// round trip, within bounds.
+// Time limits within a call.
 const (
-	answerLimit = 500 * time.Millisecond // for an answer, from its first byte to its last
-	leastMoment = time.Millisecond
-	mostMoment  = 10 * time.Millisecond
-	waryFor     = 30 * time.Second // after a reset under a call, calls hold back their last byte
+	responseTimeout = 500 * time.Millisecond // for a response, from its first byte to its last
+	finalCheckTime  = time.Millisecond       // for a response that has arrived when its call is cancelled
 )
 
-var errEndless = errors.New("too many interim answers")
+// For holdBackAfterReset after a reset during a call, calls hold back their last byte, see writeCall. They do so for
+// the time that connecting took, which is about a round trip, but within the two limits.
+const (
+	defaultMinHoldBack = time.Millisecond
+	maxHoldBack        = 10 * time.Millisecond
+	holdBackAfterReset = 30 * time.Second
+)
 
-// longAgo as a deadline ends a blocked read or write at once.
-var longAgo = time.Unix(1, 0)
+const (
+	keepAliveDivisor = 10   // idle connections are closed 1/10 of Config.KeepAlive before endpoints close them
+	readBufferBytes  = 2048 // of a connection
+)
 
-// Cancel gives the call up, wherever it is.
+var errTooManyInterim = errors.New("too many interim responses")
+
+// pastDeadline, set as a deadline, makes a blocked read or write return at once.
+var pastDeadline = time.Unix(1, 0)
+
+// Cancel cancels the call in whatever state it is. Its result still goes to Config.Finish.
 func (j *job) Cancel() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.giveUp()
+	j.cancelLocked()
 }
 
-// giveUp ends what the call waits for. Call it with the lock held.
-func (j *job) giveUp() {
-	j.given = true
-	if j.undial != nil {
-		j.undial()
+// cancelLocked interrupts whatever the call waits for. It must be called with the lock held.
+func (j *job) cancelLocked() {
+	j.cancelled = true
+	if j.cancelDial != nil {
+		j.cancelDial()
 	}
 	if j.nc != nil {
-		j.nc.SetDeadline(longAgo)
+		j.nc.SetDeadline(pastDeadline)
 	}
 }
 
-// Recall gives the call up unless it may have reached the endpoint whole.
+// Recall cancels the call unless its last byte may have been written. It reports whether the call was cancelled.
 func (j *job) Recall() bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if j.out || j.given {
+	if j.committed || j.cancelled {
 		return false
 	}
-	j.giveUp()
+	j.cancelLocked()
 	return true
 }
 
-// attach lets Cancel and Recall reach the connection; it is false if the call has been given up before.
-func (j *job) attach(nc net.Conn, undial context.CancelFunc) bool {
+// attach sets the connection and the dial that Cancel and Recall interrupt. It returns false if the call has already
+// been cancelled.
+func (j *job) attach(nc net.Conn, cancelDial context.CancelFunc) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.nc, j.undial = nc, undial
-	return !j.given
+	j.nc, j.cancelDial = nc, cancelDial
+	return !j.cancelled
 }
 
-// commit is the point of no return, right before the last byte is written; it is false if the call has been given up before, or
-// had to leave earlier.
+// commit marks the call as written, right before its last byte is. It returns false if the call has been cancelled or
+// its WriteBy has passed; the last byte must then not be written.
 func (j *job) commit() bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.late = !j.call.WriteBy.IsZero() && time.Now().After(j.call.WriteBy)
-	j.out = !j.given && !j.late
-	return j.out
+	j.missedWriteBy = !j.call.WriteBy.IsZero() && time.Now().After(j.call.WriteBy)
+	j.committed = !j.cancelled && !j.missedWriteBy
+	return j.committed
 }
 
-// limit ends the reading of an answer after this time, 0 for never, unless the call has been given up.
-func (j *job) limit(after time.Duration) {
+// setReadTimeout makes reads fail after this time, or never if it is 0. It changes nothing on a cancelled call.
+func (j *job) setReadTimeout(timeout time.Duration) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if j.given || j.nc == nil {
+	if j.cancelled || j.nc == nil {
 		return
 	}
-	var at time.Time
-	if after > 0 {
-		at = time.Now().Add(after)
+	var deadline time.Time
+	if timeout > 0 {
+		deadline = time.Now().Add(timeout)
 	}
-	j.nc.SetReadDeadline(at)
+	j.nc.SetReadDeadline(deadline)
 }
 
-func (j *job) givenUp() bool {
+// isCancelled reports whether the call has been cancelled or recalled.
+func (j *job) isCancelled() bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.given
+	return j.cancelled
 }
 
-// Start makes a call on the connection used last, or on a new one. It does not wait.
+// Start makes a call, on the most recently used idle connection to its endpoint or on a new one. It does not wait.
 func (p *Pool) Start(call *exchange.Call) exchange.Handle {
 	j := &job{call: call}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c := p.pop(call.To); c != nil {
+	if c := p.popIdle(call.To); c != nil {
 		c.next = j
-		c.nc.SetReadDeadline(longAgo)
+		c.nc.SetReadDeadline(pastDeadline)
 		return j
 	}
-	if p.open >= p.cfg.MaxConns {
-		p.closeOldest()
+	if p.openConns >= p.cfg.MaxConns {
+		p.closeOldestIdle()
 	}
-	p.open++
-	p.wg.Go(func() { p.run(j) })
+	p.openConns++
+	p.wg.Go(func() { p.serveConn(j) })
 	return j
 }
 
-// pop takes the idle connection to a peer that was used last. Call it with the lock held.
-func (p *Pool) pop(to exchange.Peer) *conn {
+// popIdle removes and returns the most recently used idle connection to a peer, nil if there is none. It must be called
+// with the lock held.
+func (p *Pool) popIdle(to exchange.Peer) *conn {
 	list := p.idle[to]
 	if len(list) == 0 {
 		return nil
 	}
 	c := list[len(list)-1]
-	p.drop(to, c)
+	p.removeIdle(to, c)
 	return c
 }
 
-func (p *Pool) drop(to exchange.Peer, c *conn) {
+// removeIdle removes a connection from the idle ones. It must be called with the lock held.
+func (p *Pool) removeIdle(to exchange.Peer, c *conn) {
 	list := p.idle[to]
 	if i := slices.Index(list, c); i >= 0 {
 		list = slices.Delete(list, i, i+1)
@@ -193,37 +207,37 @@
 	}
 }
 
-// closeOldest makes room by the connection that has been idle longest. Call it with the lock held.
-func (p *Pool) closeOldest() {
+// closeOldestIdle closes the connection that has been idle longest, if any. It must be called with the lock held.
+func (p *Pool) closeOldestIdle() {
 	var to exchange.Peer
 	var oldest *conn
 	for peer, list := range p.idle {
-		if oldest == nil || list[0].since.Before(oldest.since) {
+		if oldest == nil || list[0].idleSince.Before(oldest.idleSince) {
 			to, oldest = peer, list[0]
 		}
 	}
 	if oldest != nil {
-		p.drop(to, oldest)
-		oldest.nc.SetReadDeadline(longAgo)
+		p.removeIdle(to, oldest)
+		oldest.nc.SetReadDeadline(pastDeadline)
 	}
 }
 
-// CloseIdle closes the idle connections to a peer.
+// CloseIdle closes all idle connections to a peer.
 func (p *Pool) CloseIdle(to exchange.Peer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for c := p.pop(to); c != nil; c = p.pop(to) {
-		c.nc.SetReadDeadline(longAgo)
+	for c := p.popIdle(to); c != nil; c = p.popIdle(to) {
+		c.nc.SetReadDeadline(pastDeadline)
 	}
 }
 
-// Close closes all idle connections and waits for the calls that are out, which the caller has given up.
+// Close closes all idle connections and waits for the calls in flight, which the caller must have cancelled.
 func (p *Pool) Close() {
 	p.mu.Lock()
-	p.shut = true
+	p.closed = true
 	for _, list := range p.idle {
 		for _, c := range list {
-			c.nc.SetReadDeadline(longAgo)
+			c.nc.SetReadDeadline(pastDeadline)
 		}
 	}
 	clear(p.idle)
@@ -231,11 +245,11 @@
 	p.wg.Wait()
 }
 
-// run is the life of one connection: it makes calls as long as they come and the connection lasts.
-func (p *Pool) run(j *job) {
+// serveConn opens a connection for a call and makes calls on it for as long as it can be used.
+func (p *Pool) serveConn(j *job) {
 	defer func() {
 		p.mu.Lock()
-		p.open--
+		p.openConns--
 		p.mu.Unlock()
 	}()
 	var c *conn
@@ -246,60 +260,63 @@
 			}
 		}
 		to := j.call.To
-		if !p.do(c, j) {
-			c.end()
+		if !p.roundTrip(c, j) {
+			c.close()
 			return
 		}
-		var sound bool
-		if j, sound = p.park(c, to); !sound {
-			c.end()
-			c = nil // nothing of the next call was written yet: it gets a fresh one
+		var usable bool
+		if j, usable = p.waitIdle(c, to); !usable {
+			c.close()
+			c = nil // no byte of the next call, if any, has been written: it gets a new connection
 		}
 	}
 }
 
-// end is the one way in which a connection to an endpoint ends: closed at once, with or without a reset. Nothing is owed to an
-// endpoint; a call that is out is given up by it, and what lies unread, half a line or an answer on its way, is lost on purpose
-// (answer has looked once more by then). It must not be called before the call that the connection carries has its result.
-func (c *conn) end() { c.nc.Close() }
+// close closes a connection at once, with or without a reset, and is the only function that does. Unread bytes, such
+// as a part of a response or a late one, are dropped on purpose: nothing is owed to an endpoint, and for a cancelled
+// call readResponse has checked once more by then. The call that the connection carries must have its result before.
+func (c *conn) close() { c.nc.Close() }
 
-// connect opens a connection for a call; where it cannot, the call ends here.
+// connect opens a connection for a call. If that fails, it finishes the call and returns nil.
 func (p *Pool) connect(j *job) *conn {
 	ctx, cancel := context.WithTimeout(context.Background(), p.cfg.ConnectTimeout)
 	defer cancel()
 	if !j.attach(nil, cancel) {
 		cancel()
 	}
-	begun := time.Now()
+	start := time.Now()
 	nc, err := p.dial(ctx, "tcp", j.call.To.Addr)
 	if err != nil {
-		p.finish(j, rules.ConnectError)
+		p.finishUnsent(j, rules.ConnectError)
 		return nil
 	}
-	return &conn{nc: nc, br: bufio.NewReaderSize(nc, 2048), trip: time.Since(begun), moment: p.moment}
+	return &conn{nc: nc, br: bufio.NewReaderSize(nc, readBufferBytes), connectTime: time.Since(start),
+		minHoldBack: p.minHoldBack}
 }
 
-// finish ends a call that did not reach the endpoint.
-func (p *Pool) finish(j *job, o rules.Outcome) {
-	r := exchange.ItemResult{Outcome: o}
+// finishUnsent finishes a call that was not written completely. A call that was cancelled or missed its WriteBy gets
+// the outcome for that instead of the given one.
+func (p *Pool) finishUnsent(j *job, outcome rules.Outcome) {
+	r := exchange.ItemResult{Outcome: outcome}
 	j.mu.Lock()
 	switch {
-	case j.given:
+	case j.cancelled:
 		r.Outcome = rules.Cancelled
-	case j.late:
+	case j.missedWriteBy:
 		r = exchange.ItemResult{Outcome: rules.NotSent, Recalled: true}
 	}
 	j.mu.Unlock()
-	p.cfg.Finish(j.call, exchange.Result{Items: same(j.call, r)})
+	p.cfg.Finish(j.call, exchange.Result{Items: sameResults(j.call, r)})
 }
 
-// park keeps a connection while it is idle. It returns the next call, nil if the connection is to be closed, and
-// whether the connection can still be used for it.
-func (p *Pool) park(c *conn, to exchange.Peer) (next *job, sound bool) {
-	c.since = time.Now()
-	c.nc.SetReadDeadline(c.since.Add(p.cfg.KeepAlive - p.cfg.KeepAlive/10)) // before the other side does
+// waitIdle keeps a connection idle until its next call. It returns that call, nil if the connection is to be closed,
+// and whether the connection can still be used for it.
+func (p *Pool) waitIdle(c *conn, to exchange.Peer) (next *job, usable bool) {
+	c.idleSince = time.Now()
+	// Close it before the endpoint does, so that no call meets a connection that is being closed.
+	c.nc.SetReadDeadline(c.idleSince.Add(p.cfg.KeepAlive - p.cfg.KeepAlive/keepAliveDivisor))
 	p.mu.Lock()
-	if p.shut || p.open > p.cfg.MaxConns {
+	if p.closed || p.openConns > p.cfg.MaxConns {
 		p.mu.Unlock()
 		return nil, false
 	}
@@ -309,32 +326,35 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if next, c.next = c.next, nil; next == nil {
-		p.drop(to, c)
+		p.removeIdle(to, c)
 		return nil, false
 	}
-	// The read that was made to time out may have left bytes or an end in the kernel: what lies there when a call is
-	// written would be taken for its answer. Guards against a second copy of an answer and noise behind one; what
-	// arrives later still cannot be told from an answer.
-	return next, errors.Is(err, os.ErrDeadlineExceeded) && time.Since(c.since) < p.cfg.KeepAlive && socket.ReadWouldBlock(c.nc)
+	// The read that was made to time out may have left bytes or the end of the stream in the kernel. Bytes that are
+	// there before a call is written, such as a duplicate response or garbage after one, must not be taken for its
+	// response. Bytes that arrive later cannot be told from a response.
+	idleTimedOut := errors.Is(err, os.ErrDeadlineExceeded)
+	return next, idleTimedOut && time.Since(c.idleSince) < p.cfg.KeepAlive && socket.ReadWouldBlock(c.nc)
 }
 
-// write sends a call. If connections have lately been reset under calls, its last byte goes after a moment in which the
-// other side would break the connection if it has no use for it any more: what breaks before the last byte has never
-// run, and may be sent again whatever it is. Guards against peers and what stands between that reset a connection at its
-// next bytes; where resets take longer it costs the moment, and some processor time. It is false if the last byte has not
-// been written.
-func (c *conn) write(j *job, wary bool) bool {
+// writeCall writes a call and reports whether its last byte has been written. With holdBack it writes all but the
+// last byte, and the last one only after a pause in which a peer that no longer wants the connection would reset it.
+// A call whose connection breaks before the last byte has not run, so its messages may be sent again whatever their
+// effect. This guards against endpoints, and middleboxes on the way, that reset an idle connection when the next bytes
+// arrive. Where the reset takes longer than the pause it does not help, and costs the pause and some processor time.
+func (c *conn) writeCall(j *job, holdBack bool) bool {
 	rest := c.buf
-	if last := len(c.buf) - 1; wary {
+	if last := len(c.buf) - 1; holdBack {
 		if _, err := c.nc.Write(c.buf[:last]); err != nil {
 			return false
 		}
-		j.limit(max(c.moment, min(c.trip, mostMoment)))
+		j.setReadTimeout(max(c.minHoldBack, min(c.connectTime, maxHoldBack)))
 		_, err := c.br.Peek(1)
-		if early := err == nil && !c.used; !early && !errors.Is(err, os.ErrDeadlineExceeded) {
-			return false // broken, or with bytes of what came before; an early answer on a new one is this call's
+		// Bytes on a new connection are an early response to this call. On a used one they belong to an earlier call.
+		early := err == nil && !c.used
+		if !early && !errors.Is(err, os.ErrDeadlineExceeded) {
+			return false
 		}
-		j.limit(0)
+		j.setReadTimeout(0)
 		rest = c.buf[last:]
 	}
 	if !j.commit() {
@@ -344,55 +364,57 @@
 	return err == nil
 }
 
-// answer waits for the answer to a call. Once one has begun, the rest must follow soon: a peer that stops halfway, or
-// never comes to an end, would otherwise keep a slot until the message is out of time. An interim answer promises
-// nothing about when the real one comes. A call given up is looked at once more: an answer that has come and was not read
-// yet may tell a wait, which holds from when it was written.
-func (c *conn) answer(j *job) (*http1.Response, error) {
+// readResponse waits for the final response to a call. Once a response has begun, the rest must follow within
+// responseTimeout: an endpoint that stops halfway, or sends without end, would otherwise occupy a slot until the
+// message's deadline. After an interim response the wait for the next one is not limited. When a call is cancelled,
+// it checks once more for a response that has arrived unread: that one may carry a retry-after, which applies from
+// when it was written.
+func (c *conn) readResponse(j *job) (*http1.Response, error) {
 	for range http1.MaxInterimResponses + 1 {
 		_, err := c.br.Peek(1)
-		if errors.Is(err, os.ErrDeadlineExceeded) && j.givenUp() {
-			c.nc.SetReadDeadline(time.Now().Add(leastMoment))
+		if errors.Is(err, os.ErrDeadlineExceeded) && j.isCancelled() {
+			c.nc.SetReadDeadline(time.Now().Add(finalCheckTime))
 			_, err = c.br.Peek(1)
 		}
 		if err != nil {
 			return nil, err
 		}
-		j.limit(answerLimit)
-		if resp, err := http1.ReadOneResponse(c.br, maxAnswer); err != nil || resp.Status >= 200 {
+		j.setReadTimeout(responseTimeout)
+		if resp, err := http1.ReadOneResponse(c.br, maxResponseBytes); err != nil || resp.Status >= 200 {
 			return resp, err
 		}
-		j.limit(0)
+		j.setReadTimeout(0)
 	}
-	return nil, errEndless
+	return nil, errTooManyInterim
 }
 
-// do makes one call and hands in its result. It tells whether the connection can be used again.
-func (p *Pool) do(c *conn, j *job) bool {
+// roundTrip makes one call and passes its result to Config.Finish. It reports whether the connection can be used again.
+func (p *Pool) roundTrip(c *conn, j *job) bool {
 	c.nc.SetDeadline(time.Time{})
 	if !j.attach(c.nc, nil) {
-		p.finish(j, rules.Cancelled)
+		p.finishUnsent(j, rules.Cancelled)
 		return true
 	}
 	c.buf = appendCall(c.buf[:0], j.call)
-	if !c.write(j, time.Since(time.UnixMilli(p.reset.Load())) < waryFor) {
+	holdBack := time.Since(time.UnixMilli(p.lastReset.Load())) < holdBackAfterReset
+	if !c.writeCall(j, holdBack) {
 		j.attach(nil, nil)
-		p.finish(j, rules.ConnectError)
+		p.finishUnsent(j, rules.ConnectError)
 		return false
 	}
-	resp, err := c.answer(j)
+	resp, err := c.readResponse(j)
 	j.attach(nil, nil)
 	if resp == nil && errors.Is(err, syscall.ECONNRESET) {
-		p.reset.Store(time.Now().UnixMilli())
+		p.lastReset.Store(time.Now().UnixMilli())
 	}
 	lost := rules.Reset
-	if j.givenUp() {
+	if j.isCancelled() {
 		lost = rules.Cancelled
 	}
-	fresh := !c.used
+	first := !c.used
 	c.used = true
-	p.cfg.Finish(j.call, exchange.Result{Written: true, Items: outcomes(j.call, resp, err, lost, fresh)})
-	if cap(c.buf) > maxKept {
+	p.cfg.Finish(j.call, exchange.Result{Written: true, Items: itemResults(j.call, resp, err, lost, first)})
+	if cap(c.buf) > maxKeptBufferBytes {
 		c.buf = nil
 	}
 	return err == nil && !resp.Close && c.br.Buffered() == 0
