--- a/internal/capacity/daemon_test.go
+++ b/internal/capacity/daemon_test.go
@@ -1,4 +1,4 @@
-// This file measures the daemon as a process, on sockets of this machine.
+// This file measures the sender as a process (cmd/eiderhaven), on sockets of this machine.
 
 package capacity
 
@@ -26,13 +26,28 @@
 	"eiderhaven/standin/platform"
 )
 
-// program builds the daemon for the benchmarks that want one.
-var program = sync.OnceValues(func() (string, error) {
+const (
+	maxResponseBytes = 1 << 16
+	startLimit       = 2 * time.Minute // for a daemon to become ready
+	readyPoll        = 2 * time.Millisecond
+	clientCount      = 64 // connections that submit messages in parallel
+
+	endpointAddr = "127.0.0.1:9000" // of listed endpoints that are never called
+	changedAddr  = "127.0.0.1:9001" // address of an endpoint after a change
+
+	// Deadlines of submitted messages, in milliseconds.
+	secondMS = 1000
+	minuteMS = 60_000
+	hourMS   = 3_600_000
+)
+
+// buildDaemon builds the daemon on its first call and returns the path of the program.
+var buildDaemon = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "capacity")
 	if err != nil {
 		return "", err
 	}
-	built = dir
+	buildDir = dir
 	out, err := exec.Command("go", "build", "-o", dir, "eiderhaven/cmd/eiderhaven").CombinedOutput()
 	if err != nil {
 		err = fmt.Errorf("%w: %s", err, out)
@@ -40,30 +55,31 @@
 	return filepath.Join(dir, "eiderhaven"), err
 })
 
-var built string // its folder
+var buildDir string // directory of the built daemon; empty if it was not built
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	if built != "" {
-		os.RemoveAll(built)
+	if buildDir != "" {
+		os.RemoveAll(buildDir)
 	}
 	os.Exit(code)
 }
 
-// daemon is a sender that runs.
+// daemon is a sender process.
 type daemon struct {
-	b      *testing.B
-	cmd    *exec.Cmd
-	addr   string
-	dir    string
-	config string
-	log    bytes.Buffer
-	done   chan struct{}
-	ready  time.Duration // from its start
+	b           *testing.B
+	cmd         *exec.Cmd
+	addr        string // where it accepts messages
+	stateDir    string
+	configFile  string
+	stderr      bytes.Buffer
+	exited      chan struct{} // closed when the process has exited
+	timeToReady time.Duration // from the start of the process
 }
 
-// newDaemon prepares one that knows these entries.
-func newDaemon(b *testing.B, disc string, known []byte) *daemon {
+// newDaemon writes the configuration of a daemon that uses discovery at an address and initially knows these entries.
+// It does not start the daemon.
+func newDaemon(b *testing.B, discoveryAddr string, known []byte) *daemon {
 	b.Helper()
 	dir, err := os.MkdirTemp("", "capacity")
 	if err != nil {
@@ -74,69 +90,83 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	d := &daemon{b: b, addr: ln.Addr().String(), dir: filepath.Join(dir, "state"), config: filepath.Join(dir, "config.json")}
+	d := &daemon{
+		b:          b,
+		addr:       ln.Addr().String(),
+		stateDir:   filepath.Join(dir, "state"),
+		configFile: filepath.Join(dir, "config.json"),
+	}
 	ln.Close()
-	var c, set, allowed map[string]any
+	var config, settings, allowed map[string]any
 	text, err := os.ReadFile("../../example/config.json")
-	if err = errors.Join(err, json.Unmarshal(text, &c)); err != nil {
+	if err = errors.Join(err, json.Unmarshal(text, &config)); err != nil {
 		b.Fatal(err)
 	}
-	set = c["settings"].(map[string]any)
-	allowed = set["allowed"].(map[string]any)
-	c["listen"], c["discovery"] = d.addr, disc
-	c["known"] = json.RawMessage(fmt.Sprintf(`{"seq":0,"whole":true,"hosts":%s}`, known))
-	c["limits"] = map[string]any{"cores": 1, "memory_mb": 8000, "sockets": 4096, "disk_mb": 1000}
-	set["balancers"] = 480
-	set["extra"].(map[string]any)["slots"] = 400
-	allowed["max_open"], allowed["max_attempts"] = 1_000_000, 1_000_000
-	for _, class := range set["request_classes"].([]any) {
-		class.(map[string]any)["deadline_us"] = 3_600_000_000
+	settings = config["settings"].(map[string]any)
+	allowed = settings["allowed"].(map[string]any)
+	config["listen"] = d.addr
+	config["discovery"] = discoveryAddr
+	config["known"] = json.RawMessage(fmt.Sprintf(`{"seq":0,"whole":true,"hosts":%s}`, known))
+	config["limits"] = map[string]any{"cores": 1, "memory_mb": 8000, "sockets": 4096, "disk_mb": 1000}
+	settings["balancers"] = fleetSize
+	settings["extra"].(map[string]any)["slots"] = 400
+	allowed["max_open"] = 1_000_000
+	allowed["max_attempts"] = 1_000_000
+	for _, class := range settings["request_classes"].([]any) {
+		class.(map[string]any)["deadline_us"] = deadline.Microseconds()
 	}
-	text, err = json.Marshal(c)
-	if err = errors.Join(err, os.Mkdir(d.dir, 0o700), os.WriteFile(d.config, text, 0o600)); err != nil {
+	text, err = json.Marshal(config)
+	if err = errors.Join(err, os.Mkdir(d.stateDir, 0o700), os.WriteFile(d.configFile, text, 0o600)); err != nil {
 		b.Fatal(err)
 	}
 	return d
 }
 
-// start starts it and waits until it is ready.
+// start starts the daemon and waits until it is ready.
 func (d *daemon) start() {
 	d.b.Helper()
-	path, err := program()
+	path, err := buildDaemon()
 	if err != nil {
 		d.b.Fatal(err)
 	}
-	d.cmd, d.done = exec.Command(path), make(chan struct{})
-	d.cmd.Env = append(os.Environ(), "LB_CONFIG="+d.config, "LB_STATE="+d.dir)
-	d.cmd.Stderr = &d.log
-	began := time.Now()
+	d.cmd = exec.Command(path)
+	d.exited = make(chan struct{})
+	d.cmd.Env = append(os.Environ(), "LB_CONFIG="+d.configFile, "LB_STATE="+d.stateDir)
+	d.cmd.Stderr = &d.stderr
+	start := time.Now()
 	if err := d.cmd.Start(); err != nil {
 		d.b.Fatal(err)
 	}
-	go func() { d.cmd.Wait(); close(d.done) }()
+	go func() {
+		d.cmd.Wait()
+		close(d.exited)
+	}()
 	for {
-		if r, err := d.ask("GET /health/ready HTTP/1.1\r\nConnection: close\r\n\r\n"); err == nil && r.Status == 200 {
+		r, err := d.request("GET /health/ready HTTP/1.1\r\nConnection: close\r\n\r\n")
+		if err == nil && r.Status == 200 {
 			break
 		}
 		select {
-		case <-d.done:
-			d.b.Fatalf("the sender ended: %s", d.log.String())
-		case <-time.After(2 * time.Millisecond):
+		case <-d.exited:
+			d.b.Fatalf("the sender exited: %s", d.stderr.String())
+		case <-time.After(readyPoll):
 		}
-		if time.Since(began) > 2*time.Minute {
+		if time.Since(start) > startLimit {
 			d.kill()
-			d.b.Fatal("the sender is not ready after two minutes")
+			d.b.Fatalf("the sender is not ready after %v", startLimit)
 		}
 	}
-	d.ready = time.Since(began)
+	d.timeToReady = time.Since(start)
 }
 
+// kill kills the process and waits until it has exited.
 func (d *daemon) kill() {
 	d.cmd.Process.Signal(syscall.SIGKILL)
-	<-d.done
+	<-d.exited
 }
 
-func (d *daemon) ask(text string) (*http1.Response, error) {
+// request sends a request on a connection of its own and returns the response.
+func (d *daemon) request(text string) (*http1.Response, error) {
 	nc, err := net.Dial("tcp", d.addr)
 	if err != nil {
 		return nil, err
@@ -145,48 +175,51 @@
 	if _, err := io.WriteString(nc, text); err != nil {
 		return nil, err
 	}
-	return http1.ReadResponse(bufio.NewReader(nc), 1<<16)
+	return http1.ReadResponse(bufio.NewReader(nc), maxResponseBytes)
 }
 
-// megabytes reads a line of the kernel's status of the process: VmRSS, or VmHWM for the most there was.
-func (d *daemon) megabytes(what string) float64 {
+// megabytes returns a value of /proc/PID/status in megabytes: VmRSS is the resident memory, VmHWM its peak.
+func (d *daemon) megabytes(key string) float64 {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", d.cmd.Process.Pid))
-	m := regexp.MustCompile(what + `:\s+(\d+) kB`).FindSubmatch(text)
-	if m == nil {
-		d.b.Fatalf("no %s in the status of the process", what)
+	match := regexp.MustCompile(key + `:\s+(\d+) kB`).FindSubmatch(text)
+	if match == nil {
+		d.b.Fatalf("no %s in the status of the process", key)
 	}
-	kb, _ := strconv.Atoi(string(m[1])) // digits, by the pattern
+	kb, _ := strconv.Atoi(string(match[1])) // cannot fail: only digits match
 	return float64(kb) * 1024 / 1e6
 }
 
-// cpu is the processor time of the process so far.
-func (d *daemon) cpu() time.Duration {
+// cpuTime returns the CPU time that the process has used so far.
+func (d *daemon) cpuTime() time.Duration {
 	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", d.cmd.Process.Pid))
 	sum := 0
 	for _, f := range files {
 		text, _ := os.ReadFile(f)
-		if words := strings.Fields(string(text)); len(words) > 0 {
-			ns, _ := strconv.Atoi(words[0]) // the kernel's own number
+		if fields := strings.Fields(string(text)); len(fields) > 0 {
+			ns, _ := strconv.Atoi(fields[0]) // cannot fail: the kernel writes a number
 			sum += ns
 		}
 	}
 	return time.Duration(sum)
 }
 
-// share is the part of a core in percent that it takes over a span.
-func (d *daemon) share(span time.Duration) float64 {
-	before := d.cpu()
+// cpuPercent waits for a time and returns the CPU time used meanwhile, in percent of a core.
+func (d *daemon) cpuPercent(span time.Duration) float64 {
+	before := d.cpuTime()
 	time.Sleep(span)
-	return (d.cpu() - before).Seconds() / span.Seconds() * 100
+	return (d.cpuTime() - before).Seconds() / span.Seconds() * 100
 }
 
-// clients hand in messages over connections of their own, so many a second or as fast as they are answered, and return how many
-// were taken on in what time.
-func (d *daemon) clients(connections, messages int, rate float64, ms int, dest func(i int) int) (taken int64, took time.Duration) {
-	var next, ok atomic.Int64
+// submitMessages submits messages with this deadline over parallel connections, at this rate (messages per second) or,
+// with rate 0, each as soon as the previous one of its connection is answered. dest gives the destination of message i.
+// It returns the number of accepted messages and the time from start to end.
+func (d *daemon) submitMessages(messages int, rate float64, deadlineMS int, dest func(i int) int) (
+	accepted int64, took time.Duration,
+) {
+	var next, acceptedCount atomic.Int64
 	var wg sync.WaitGroup
-	began := time.Now()
-	for range connections {
+	start := time.Now()
+	for range clientCount {
 		wg.Go(func() {
 			nc, err := net.Dial("tcp", d.addr)
 			if err != nil {
@@ -200,29 +233,38 @@
 					return
 				}
 				if rate > 0 {
-					time.Sleep(time.Until(began.Add(time.Duration(float64(i) / rate * float64(time.Second)))))
+					due := start.Add(time.Duration(float64(i) / rate * float64(time.Second)))
+					time.Sleep(time.Until(due))
 				}
-				id := "m" + strconv.FormatInt(serial.Add(1), 36)
-				fmt.Fprintf(nc, "POST /stock HTTP/1.1\r\nReq-Id: %s\r\nReq-Kind: stock\r\nReq-Deadline-Ms: %d\r\nEnvelope: dest=%d\r\n"+
-					"Content-Length: 5\r\n\r\nhello", id, ms, dest(i))
-				r, err := http1.ReadResponse(br, 1<<16)
+				id := "m" + strconv.FormatInt(messageCount.Add(1), 36)
+				fmt.Fprintf(nc, "POST /stock HTTP/1.1\r\n"+
+					"Req-Id: %s\r\n"+
+					"Req-Kind: stock\r\n"+
+					"Req-Deadline-Ms: %d\r\n"+
+					"Envelope: dest=%d\r\n"+
+					"Content-Length: 5\r\n\r\nhello", id, deadlineMS, dest(i))
+				r, err := http1.ReadResponse(br, maxResponseBytes)
 				if err != nil {
 					return
 				}
 				if r.Status == 202 {
-					ok.Add(1)
+					acceptedCount.Add(1)
 				}
 			}
 		})
 	}
 	wg.Wait()
-	return ok.Load(), time.Since(began)
+	return acceptedCount.Load(), time.Since(start)
 }
 
-var serial atomic.Int64
+// messageCount is the number of messages submitted by the whole test process, so that all have different IDs.
+var messageCount atomic.Int64
+
+// firstDestination is a function for submitMessages that sends all messages to destination 0.
+func firstDestination(int) int { return 0 }
 
-// closed is an address at which nobody listens.
-func closed(b *testing.B) string {
+// closedAddress returns a loopback address that refuses connections.
+func closedAddress(b *testing.B) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -231,60 +273,76 @@
 	return ln.Addr().String()
 }
 
-// BenchmarkDaemonDestinations is a sender that knows so many destinations and gets no message. The list comes with the
-// configuration; discovery has nothing to add.
+// useKnownList makes discovery answer the first request with an empty change, so that the daemon keeps the list of its
+// configuration. It returns discovery's address.
+func useKnownList(b *testing.B, d *discovery) string {
+	b.Helper()
+	d.firstAnswerEmpty = true
+	return d.addr
+}
+
+// BenchmarkDaemonDestinations measures a sender that knows n destinations and gets no messages. The list comes from the
+// configuration, and discovery reports no changes.
 func BenchmarkDaemonDestinations(b *testing.B) {
+	const span = 3 * time.Second
 	measure(b, 2, "destinations", []int{5000, 20_000, 60_000, 120_000, 210_000}, func(n int) map[string]float64 {
 		disc := newDiscovery(b, nil)
 		defer disc.Close()
-		known := entries(n, "127.0.0.1:9000")
-		d := newDaemon(b, partial(b, disc), known)
+		known := encodeEntries(n, endpointAddr)
+		d := newDaemon(b, useKnownList(b, disc), known)
 		d.start()
 		defer d.kill()
 		time.Sleep(time.Second)
-		before := disc.in.Load() + disc.out.Load()
-		share := d.share(3 * time.Second)
-		return map[string]float64{"a: MB resident": d.megabytes("VmRSS"), "b: MB resident at most": d.megabytes("VmHWM"), "c: s to ready": d.ready.Seconds(),
-			"d: % of a core, no traffic": share, "e: bytes a second to and from discovery": float64(disc.in.Load()+disc.out.Load()-before) / 3}
+		bytesBefore := disc.totalBytes()
+		cpu := d.cpuPercent(span)
+		return map[string]float64{
+			"a: MB resident":                          d.megabytes("VmRSS"),
+			"b: MB resident at most":                  d.megabytes("VmHWM"),
+			"c: s to ready":                           d.timeToReady.Seconds(),
+			"d: % of a core, no traffic":              cpu,
+			"e: bytes a second to and from discovery": float64(disc.totalBytes()-bytesBefore) / span.Seconds(),
+		}
 	})
 }
 
-// partial makes a discovery's first answer one without entries that leaves the known list as it is.
-func partial(b *testing.B, d *discovery) string {
-	b.Helper()
-	d.partial = true
-	return d.addr
-}
-
-// BenchmarkDaemonWholeLists is the same where discovery has the whole list and hands it out: what is asked of it by a sender that
-// is left alone for 4 s.
+// BenchmarkDaemonWholeLists measures the same where discovery sends the whole list: how often a sender without traffic
+// requests it at the start and in the 4 s after.
 func BenchmarkDaemonWholeLists(b *testing.B) {
+	const span = 4 * time.Second
 	measure(b, 2, "destinations", []int{9000, 18_000, 36_000, 72_000}, func(n int) map[string]float64 {
-		whole := entries(n, "127.0.0.1:9000")
-		disc := newDiscovery(b, whole)
+		entries := encodeEntries(n, endpointAddr)
+		disc := newDiscovery(b, entries)
 		defer disc.Close()
-		d := newDaemon(b, disc.addr, whole)
+		d := newDaemon(b, disc.addr, entries)
 		d.start()
 		defer d.kill()
 		time.Sleep(time.Second)
-		calls, out := disc.wholes.Load(), disc.in.Load()+disc.out.Load()
-		share := d.share(4 * time.Second)
-		return map[string]float64{"a: whole lists asked for at the start": float64(calls), "b: whole lists a second from then on": float64(disc.wholes.Load()-calls) / 4,
-			"c: bytes a second to and from discovery": float64(disc.in.Load()+disc.out.Load()-out) / 4, "d: % of a core, no traffic": share}
+		listsBefore, bytesBefore := disc.wholeLists.Load(), disc.totalBytes()
+		cpu := d.cpuPercent(span)
+		return map[string]float64{
+			"a: whole lists asked for at the start":   float64(listsBefore),
+			"b: whole lists a second from then on":    float64(disc.wholeLists.Load()-listsBefore) / span.Seconds(),
+			"c: bytes a second to and from discovery": float64(disc.totalBytes()-bytesBefore) / span.Seconds(),
+			"d: % of a core, no traffic":              cpu,
+		}
 	})
 }
 
-// BenchmarkDaemonChanges is what changes cost a sender that knows 20,000 destinations, by their number in a minute.
+// BenchmarkDaemonChanges measures what changes of the list cost a sender that knows 20,000 destinations, by the number
+// of changes per minute.
 func BenchmarkDaemonChanges(b *testing.B) {
+	const (
+		destinations = 20_000
+		span         = 4 * time.Second
+	)
 	measure(b, 2, "changes a minute", []int{0, 100, 300, 1000, 3000}, func(n int) map[string]float64 {
 		disc := newDiscovery(b, nil)
 		defer disc.Close()
-		d := newDaemon(b, partial(b, disc), entries(20_000, "127.0.0.1:9000"))
+		d := newDaemon(b, useKnownList(b, disc), encodeEntries(destinations, endpointAddr))
 		d.start()
 		defer d.kill()
 		time.Sleep(time.Second)
-		const span = 4 * time.Second
-		before, calls := disc.in.Load()+disc.out.Load(), disc.calls.Load()
+		bytesBefore, requestsBefore := disc.totalBytes(), disc.requests.Load()
 		stop := make(chan struct{})
 		var wg sync.WaitGroup
 		if n > 0 {
@@ -294,57 +352,59 @@
 				for i := 0; ; i++ {
 					select {
 					case <-tick.C:
-						disc.change(entry(i%20_000, "127.0.0.1:9001", "Ready"))
+						disc.addChange(encodeEntry(i%destinations, changedAddr, "Ready"))
 					case <-stop:
 						return
 					}
 				}
 			})
 		}
-		share := d.share(span)
-		out := map[string]float64{"a: bytes a second to and from discovery": float64(disc.in.Load()+disc.out.Load()-before) / span.Seconds(),
-			"b: calls a second to discovery": float64(disc.calls.Load()-calls) / span.Seconds(), "c: % of a core": share}
+		cpu := d.cpuPercent(span)
+		figures := map[string]float64{
+			"a: bytes a second to and from discovery": float64(disc.totalBytes()-bytesBefore) / span.Seconds(),
+			"b: calls a second to discovery":          float64(disc.requests.Load()-requestsBefore) / span.Seconds(),
+			"c: % of a core":                          cpu,
+		}
 		close(stop)
 		wg.Wait()
-		return out
+		return figures
 	})
 }
 
-// BenchmarkDaemonHeld is what messages held for one destination that refuses connections cost: memory, processor time with no
-// traffic, the rate at which the last of them were taken on, disk, and a restart.
+// BenchmarkDaemonHeld measures what messages held for one destination that refuses connections cost: memory, CPU time
+// without traffic, the rate at which the last fifth of them was accepted, disk space, and a restart.
 func BenchmarkDaemonHeld(b *testing.B) {
 	measure(b, 2, "messages held", []int{3000, 10_000, 30_000, 60_000}, func(n int) map[string]float64 {
 		disc := newDiscovery(b, nil)
 		defer disc.Close()
-		d := newDaemon(b, partial(b, disc), entries(1, closed(b)))
+		d := newDaemon(b, useKnownList(b, disc), encodeEntries(1, closedAddress(b)))
 		d.start()
-		before, _ := d.clients(64, n*4/5, 0, 3_600_000, func(int) int { return 0 })
-		taken, took := d.clients(64, n/5, 0, 3_600_000, func(int) int { return 0 })
-		if int(before+taken) < n*9/10 {
-			b.Errorf("%d of %d messages taken on: there was less to do", before+taken, n)
+		acceptedBefore, _ := d.submitMessages(n*4/5, 0, hourMS, firstDestination)
+		accepted, took := d.submitMessages(n/5, 0, hourMS, firstDestination)
+		if int(acceptedBefore+accepted) < n*9/10 {
+			b.Errorf("%d of %d messages accepted: the measured load is too small", acceptedBefore+accepted, n)
 		}
 		time.Sleep(500 * time.Millisecond)
-		share := d.share(3 * time.Second)
-		out := map[string]float64{"a: MB resident": d.megabytes("VmRSS"), "b: % of a core, no traffic": share,
-			"c: taken a second, the last fifth": float64(taken) / took.Seconds()}
-		d.kill()
-		files, _ := filepath.Glob(filepath.Join(d.dir, "*"))
-		for _, f := range files {
-			if info, err := os.Stat(f); err == nil {
-				out["d: bytes on disk"] += float64(info.Size())
-			}
+		cpu := d.cpuPercent(3 * time.Second)
+		figures := map[string]float64{
+			"a: MB resident":                    d.megabytes("VmRSS"),
+			"b: % of a core, no traffic":        cpu,
+			"c: taken a second, the last fifth": float64(accepted) / took.Seconds(),
 		}
+		d.kill()
+		figures["d: bytes on disk"] = fileBytes(d.stateDir)
 		d.start()
-		out["e: s to ready, restarted"] = d.ready.Seconds()
-		out["f: MB resident, restarted"] = d.megabytes("VmRSS")
+		figures["e: s to ready, restarted"] = d.timeToReady.Seconds()
+		figures["f: MB resident, restarted"] = d.megabytes("VmRSS")
 		d.kill()
-		return out
+		return figures
 	})
 }
 
-// BenchmarkDaemonServed is the processor time of a served message, by messages a second: to one endpoint, to which connections
-// stay open, and to 20,000 in turn, where each call opens its own.
+// BenchmarkDaemonServed measures the CPU time of a delivered message, by messages per second: to one endpoint, to which
+// connections stay open, and to 20,000 in rotation, where each call opens a connection.
 func BenchmarkDaemonServed(b *testing.B) {
+	const seconds = 4 // of traffic
 	for _, destinations := range []int{1, 20_000} {
 		b.Run(fmt.Sprintf("%d destinations", destinations), func(b *testing.B) {
 			measure(b, 2, "messages a second", []int{100, 200, 400, 800}, func(n int) map[string]float64 {
@@ -355,38 +415,49 @@
 				defer ep.Close()
 				disc := newDiscovery(b, nil)
 				defer disc.Close()
-				d := newDaemon(b, partial(b, disc), entries(destinations, ep.Addr()))
+				d := newDaemon(b, useKnownList(b, disc), encodeEntries(destinations, ep.Addr()))
 				d.start()
 				defer d.kill()
 				time.Sleep(500 * time.Millisecond)
-				before, opened := d.cpu(), ep.AcceptedConnections()
-				taken, took := d.clients(64, 4*n, float64(n), 60_000, func(i int) int { return i % destinations })
-				if taken < int64(4*n)*9/10 {
-					b.Errorf("%d of %d messages taken on: there was less to do", taken, 4*n)
+				cpuBefore, connectionsBefore := d.cpuTime(), ep.AcceptedConnections()
+				inRotation := func(i int) int { return i % destinations }
+				accepted, took := d.submitMessages(seconds*n, float64(n), minuteMS, inRotation)
+				if accepted < int64(seconds*n)*9/10 {
+					b.Errorf("%d of %d messages accepted: the measured load is too small", accepted, seconds*n)
+				}
+				cpu := d.cpuTime() - cpuBefore
+				connections := ep.AcceptedConnections() - connectionsBefore
+				return map[string]float64{
+					"a: % of a core":           cpu.Seconds() / took.Seconds() * 100,
+					"b: connections a message": float64(connections) / float64(max(accepted, 1)),
+					"c: MB resident":           d.megabytes("VmRSS"),
 				}
-				return map[string]float64{"a: % of a core": (d.cpu() - before).Seconds() / took.Seconds() * 100,
-					"b: connections a message": float64(ep.AcceptedConnections()-opened) / float64(max(taken, 1)), "c: MB resident": d.megabytes("VmRSS")}
 			})
 		})
 	}
 }
 
-// BenchmarkDaemonNotices is what discovery is sent about messages that end undelivered, by how many are handed in a second for a
-// destination that is down. About half are refused at once, as it is on probation; the others end by a notice each.
+// BenchmarkDaemonNotices measures the notices sent to discovery about messages that end undelivered, by the number of
+// messages per second submitted for a destination that is down. About half are refused at once, because the destination
+// is on probation; the others each end with a notice.
 func BenchmarkDaemonNotices(b *testing.B) {
+	const seconds = 4 // of traffic
 	measure(b, 2, "messages handed in a second", []int{6, 54, 200, 400}, func(n int) map[string]float64 {
 		disc := newDiscovery(b, nil)
 		defer disc.Close()
-		d := newDaemon(b, partial(b, disc), entries(1, closed(b)))
+		d := newDaemon(b, useKnownList(b, disc), encodeEntries(1, closedAddress(b)))
 		d.start()
 		defer d.kill()
-		taken, _ := d.clients(64, 4*n, float64(n), 1000, func(int) int { return 0 })
-		time.Sleep(1500 * time.Millisecond)
-		told, posts, calls := disc.notices.Load(), disc.posts.Load(), disc.posted.Load()
-		if told == 0 || told < taken {
-			b.Errorf("%d notices of %d messages taken on", told, taken)
+		accepted, _ := d.submitMessages(seconds*n, float64(n), secondMS, firstDestination)
+		time.Sleep(1500 * time.Millisecond) // until the last deadline has passed and the notices are sent
+		notices, noticeBytes, requests := disc.notices.Load(), disc.noticeBytes.Load(), disc.noticeRequests.Load()
+		if notices == 0 || notices < accepted {
+			b.Errorf("%d notices for %d accepted messages", notices, accepted)
+		}
+		return map[string]float64{
+			"a: bytes a second, heads of requests not counted": float64(noticeBytes) / seconds,
+			"b: posts a second":   float64(requests) / seconds,
+			"c: notices a second": float64(notices) / seconds,
 		}
-		return map[string]float64{"a: bytes a second, heads of requests not counted": float64(posts) / 4, "b: posts a second": float64(calls) / 4,
-			"c: notices a second": float64(told) / 4}
 	})
 }
--- a/internal/capacity/module_test.go
+++ b/internal/capacity/module_test.go
@@ -1,4 +1,4 @@
-// This file measures the decision module alone, without a socket.
+// This file measures the decision module alone, in simulated time and without sockets.
 
 package capacity
 
@@ -11,78 +11,131 @@
 	"eiderhaven/rules"
 )
 
-// senderSettings are those of a sender of the operators' size, one class with the longest deadline that settings allow.
+const (
+	fleetSize  = 480 // senders
+	senderTick = 5 * time.Millisecond
+	answerTime = 5 * time.Millisecond // of an endpoint that is up
+	deadline   = time.Hour            // of all messages
+	startTime  = 24 * time.Hour       // simulated time at which a sender starts
+)
+
+// senderSettings returns settings for a sender of production size, with one class that has the longest deadline that
+// settings allow.
 func senderSettings(senders int) rules.Settings {
-	return rules.Settings{Seed: 1, Senders: senders, Tick: 5 * time.Millisecond, Slots: 400, MaxHeld: 1_000_000, MaxAttempts: 1_000_000,
-		ConnectTimeout: time.Second, KeepAlive: 10 * time.Second, MaxRetryAfter: 3 * time.Second, MaySendRetryAfter: true, MayCancel: true,
-		AnswerGrace: 20 * time.Millisecond, DrainGrace: 500 * time.Millisecond, ColdShare: 0.2, WarmUp: 10 * time.Second,
-		FallWindow: 2 * time.Second, OverloadFactor: 2, LateHalving: true, OverShareWorth: 0.1, Kinds: []rules.Kind{{Batch: 1}},
-		Classes: []rules.Class{{Effect: rules.Safe, Aim: 2500 * time.Millisecond, Deadline: time.Hour, Worth: 1, LateWorth: 0.4}}}
+	return rules.Settings{
+		Seed:              1,
+		Senders:           senders,
+		Tick:              senderTick,
+		Slots:             400,
+		MaxHeld:           1_000_000,
+		MaxAttempts:       1_000_000,
+		ConnectTimeout:    time.Second,
+		KeepAlive:         10 * time.Second,
+		MaxRetryAfter:     3 * time.Second,
+		MaySendRetryAfter: true,
+		MayCancel:         true,
+		AnswerGrace:       20 * time.Millisecond,
+		DrainGrace:        500 * time.Millisecond,
+		ColdShare:         0.2,
+		WarmUp:            10 * time.Second,
+		FallWindow:        2 * time.Second,
+		OverloadFactor:    2,
+		LateHalving:       true,
+		OverShareWorth:    0.1,
+		Kinds:             []rules.Kind{{Batch: 1}},
+		Classes: []rules.Class{{
+			Effect:    rules.Safe,
+			Aim:       2500 * time.Millisecond,
+			Deadline:  deadline,
+			Worth:     1,
+			LateWorth: 0.4,
+		}},
+	}
 }
 
-// module drives a sender in model time. Down endpoints refuse connections, the others answer in 5 ms.
-type module struct {
-	s      *rules.Sender
-	now    time.Duration
-	wake   time.Duration
-	n      int
-	down   int // endpoints up to this one
-	calls  int // to those that are down
-	held   int // given up ones are taken off
-	tries  map[rules.MessageID]int
-	events []rules.Event
+// moduleDriver runs a sender in simulated time. Endpoints that are down refuse connections, the others answer after
+// answerTime.
+type moduleDriver struct {
+	sender        *rules.Sender
+	now           time.Duration
+	wakeAt        time.Duration
+	lastMessage   int // number of the latest message
+	downEndpoints int // the endpoints 1 to downEndpoints are down
+	failedCalls   int // calls to endpoints that are down
+	held          int // messages without a final answer
+	attempts      map[rules.MessageID]int
+	pendingEvents []rules.Event // of the next step
 }
 
-func list(n int) rules.ListUpdate {
-	l := rules.ListUpdate{Whole: true}
+// wholeList returns a list of n destinations with one endpoint each. The endpoint IDs start at 1.
+func wholeList(n int) rules.ListUpdate {
+	list := rules.ListUpdate{Whole: true}
 	for i := range n {
-		l.Entries = append(l.Entries, rules.Entry{Endpoint: rules.EndpointID(i + 1), Destination: i})
+		list.Entries = append(list.Entries, rules.Entry{Endpoint: rules.EndpointID(i + 1), Destination: i})
 	}
-	return l
+	return list
 }
 
-func newModule(destinations, down, senders int) *module {
-	m := &module{s: rules.New(senderSettings(senders)), now: 24 * time.Hour, down: down, tries: map[rules.MessageID]int{}}
-	m.step(list(destinations))
+// newModuleDriver returns a driver whose sender has the list of all destinations, of which the first down are down.
+func newModuleDriver(destinations, down, senders int) *moduleDriver {
+	m := &moduleDriver{
+		sender:        rules.New(senderSettings(senders)),
+		now:           startTime,
+		downEndpoints: down,
+		attempts:      map[rules.MessageID]int{},
+	}
+	m.step(wholeList(destinations))
 	return m
 }
 
-func (m *module) step(events ...rules.Event) {
-	next := m.events
-	m.events, m.wake = nil, time.Duration(1<<62)
-	for _, a := range m.s.Step(m.now, append(next, events...)) {
-		switch a := a.(type) {
+// step runs one step of the sender with the pending events and these ones, and carries out its actions.
+func (m *moduleDriver) step(events ...rules.Event) {
+	const never = time.Duration(1 << 62)
+	pending := m.pendingEvents
+	m.pendingEvents = nil
+	m.wakeAt = never
+	for _, action := range m.sender.Step(m.now, append(pending, events...)) {
+		switch a := action.(type) {
 		case rules.Send:
-			end := rules.AttemptEnded{ID: a.ID, Attempt: m.tries[a.ID], Endpoint: a.Endpoint, Outcome: rules.OK, Elapsed: 5 * time.Millisecond, Finished: true}
-			if int(a.Endpoint) <= m.down {
-				end.Outcome, end.Finished = rules.ConnectError, false
-				m.tries[a.ID]++
-				m.calls++
+			ended := rules.AttemptEnded{
+				ID:       a.ID,
+				Attempt:  m.attempts[a.ID],
+				Endpoint: a.Endpoint,
+				Outcome:  rules.OK,
+				Elapsed:  answerTime,
+				Finished: true,
+			}
+			if int(a.Endpoint) <= m.downEndpoints {
+				ended.Outcome = rules.ConnectError
+				ended.Finished = false
+				m.attempts[a.ID]++
+				m.failedCalls++
 			} else {
 				m.held--
 			}
-			m.events = append(m.events, end)
+			m.pendingEvents = append(m.pendingEvents, ended)
 		case rules.Refuse, rules.Fail:
 			m.held--
 		case rules.WakeAfter:
-			m.wake = min(m.wake, m.now+a.After)
+			m.wakeAt = min(m.wakeAt, m.now+a.After)
 		}
 	}
 }
 
-// pass lets time pass as the exchange would: a step a tick later if something has happened, else when the module asks.
-func (m *module) pass(d time.Duration) {
+// advance lets simulated time pass. Like the exchange, it runs a step one tick later if events are pending, otherwise
+// at the time for which the sender requested a wake-up.
+func (m *moduleDriver) advance(d time.Duration) {
 	for end := m.now + d; ; {
-		next := m.now + 5*time.Millisecond
-		if len(m.events) == 0 {
-			next = max(next, m.wake)
+		next := m.now + senderTick
+		if len(m.pendingEvents) == 0 {
+			next = max(next, m.wakeAt)
 		}
 		if next > end {
 			m.now = end
 			return
 		}
 		m.now = next
-		if len(m.events) > 0 {
+		if len(m.pendingEvents) > 0 {
 			m.step()
 		} else {
 			m.step(rules.WakeUp{})
@@ -90,106 +143,135 @@
 	}
 }
 
-func (m *module) arrive(destinations ...int) {
+// submit submits a message for each of these destinations, all in one step.
+func (m *moduleDriver) submit(destinations ...int) {
 	var events []rules.Event
-	for _, d := range destinations {
-		m.n++
+	for _, destination := range destinations {
+		m.lastMessage++
 		m.held++
-		events = append(events, rules.Arrived{ID: rules.MessageID(fmt.Sprintf("m%09d", m.n)), Destination: d, TimeLeft: time.Hour})
+		id := rules.MessageID(fmt.Sprintf("m%09d", m.lastMessage))
+		events = append(events, rules.Arrived{ID: id, Destination: destination, TimeLeft: deadline})
 	}
-	m.now += 5 * time.Millisecond
+	m.now += senderTick
 	m.step(events...)
 }
 
-// BenchmarkModuleDestinations is what the module keeps for a destination that is only listed, for one that was used once and went
-// idle, and what a whole list costs that names the same again.
+// BenchmarkModuleDestinations measures the memory for a destination that is only listed, the memory for one that was
+// used once and is idle since, and the time for a whole list that changes nothing.
 func BenchmarkModuleDestinations(b *testing.B) {
 	measure(b, 3, "destinations", []int{5000, 10_000, 20_000, 40_000}, func(n int) map[string]float64 {
-		before := heap()
-		m := newModule(n, 0, 480)
-		listed := heap()
-		for d := range n {
-			m.arrive(d)
+		before := liveHeapBytes()
+		m := newModuleDriver(n, 0, fleetSize)
+		listed := liveHeapBytes()
+		for destination := range n {
+			m.submit(destination)
 		}
-		m.pass(time.Minute)
-		used := heap()
-		again := list(n)
+		m.advance(time.Minute)
+		used := liveHeapBytes()
+		sameList := wholeList(n)
 		m.now += time.Second
-		began := time.Now()
-		m.step(again)
-		took := time.Since(began)
-		began = time.Now()
+		start := time.Now()
+		m.step(sameList)
+		listTime := time.Since(start)
+		start = time.Now()
 		m.now += time.Second
-		m.step(rules.ListUpdate{Entries: again.Entries[n/2 : n/2+1]})
-		change := time.Since(began)
+		m.step(rules.ListUpdate{Entries: sameList.Entries[n/2 : n/2+1]})
+		changeTime := time.Since(start)
 		runtime.KeepAlive(m)
-		return map[string]float64{"a: bytes, listed only": listed - before, "b: bytes, used once": used - before,
-			"c: ms, the whole list again": took.Seconds() * 1000, "d: us, one change": change.Seconds() * 1e6}
+		return map[string]float64{
+			"a: bytes, listed only":       listed - before,
+			"b: bytes, used once":         used - before,
+			"c: ms, the whole list again": listTime.Seconds() * 1000,
+			"d: us, one change":           changeTime.Seconds() * 1e6,
+		}
 	})
 }
 
-// BenchmarkModuleListed is the same for the size itself, of what is only listed.
+// BenchmarkModuleListed measures the memory for destinations that are only listed, up to the number of a production
+// fleet, and the time for the first list.
 func BenchmarkModuleListed(b *testing.B) {
 	measure(b, 3, "destinations", []int{26_250, 52_500, 105_000, 210_000}, func(n int) map[string]float64 {
-		before := heap()
-		began := time.Now()
-		m := newModule(n, 0, 480)
-		took := time.Since(began)
-		after := heap()
+		before := liveHeapBytes()
+		start := time.Now()
+		m := newModuleDriver(n, 0, fleetSize)
+		listTime := time.Since(start)
+		after := liveHeapBytes()
 		runtime.KeepAlive(m)
-		return map[string]float64{"a: bytes, listed only": after - before, "b: ms, the first list": took.Seconds() * 1000}
+		return map[string]float64{
+			"a: bytes, listed only": after - before,
+			"b: ms, the first list": listTime.Seconds() * 1000,
+		}
 	})
 }
 
-// BenchmarkModuleHeld is what messages held for one destination that refuses connections cost, the sender idle but for its trials.
+// BenchmarkModuleHeld measures what messages held for one destination that refuses connections cost, while the sender
+// makes no calls but probes.
 func BenchmarkModuleHeld(b *testing.B) {
-	measure(b, 3, "messages held", []int{1000, 3000, 10_000, 30_000, 100_000}, func(n int) map[string]float64 { return heldFor(b, 1, n) })
+	measure(b, 3, "messages held", []int{1000, 3000, 10_000, 30_000, 100_000}, func(n int) map[string]float64 {
+		return measureHeld(b, 1, n)
+	})
 }
 
-// BenchmarkModuleDown is the same for six messages held for each of so many destinations that refuse connections.
+// BenchmarkModuleDown measures the same for several destinations that refuse connections, with six messages held for
+// each.
 func BenchmarkModuleDown(b *testing.B) {
-	measure(b, 2, "destinations down", []int{100, 300, 1000, 3150}, func(n int) map[string]float64 { return heldFor(b, n, 6*n) })
+	const heldForEach = 6 // messages
+	measure(b, 2, "destinations down", []int{100, 300, 1000, 3150}, func(n int) map[string]float64 {
+		return measureHeld(b, n, heldForEach*n)
+	})
 }
 
-// heldFor fills a sender with so many messages for destinations that are down, and lets 10 s pass.
-func heldFor(b *testing.B, down, n int) map[string]float64 {
-	m := newModule(down+1, down, 480)
-	before := heap()
-	const last = 400 // arrivals that are timed, after the others came in large steps
-	var spent time.Duration
+// measureHeld fills a sender with n messages for destinations that are down, lets idleTime pass, and then submits
+// messages for a destination that is up.
+func measureHeld(b *testing.B, down, n int) map[string]float64 {
+	const (
+		fillStep   = 500 // messages submitted in one step before those that are timed
+		timedStep  = 20  // timed messages submitted in one step
+		timedCount = 400 // messages that are timed: the last ones, when the sender is almost full
+		idleTime   = 10 * time.Second
+		upCount    = 20 // messages for the destination that is up
+	)
+	m := newModuleDriver(down+1, down, fleetSize)
+	before := liveHeapBytes()
+	var submitTime time.Duration
 	for i := 0; i < n; {
-		size := max(1, min(500, n-last-i))
-		if i >= n-last {
-			size = 20
+		timed := i >= n-timedCount
+		size := max(1, min(fillStep, n-timedCount-i))
+		if timed {
+			size = timedStep
 		}
-		to := make([]int, size)
-		for j := range to {
-			to[j] = (i + j) % down
+		destinations := make([]int, size)
+		for j := range destinations {
+			destinations[j] = (i + j) % down
 		}
-		began := time.Now()
-		m.arrive(to...)
-		if i >= n-last {
-			spent += time.Since(began)
+		start := time.Now()
+		m.submit(destinations...)
+		if timed {
+			submitTime += time.Since(start)
 		}
 		i += size
 	}
-	after := heap()
-	m.calls = 0
-	began := time.Now()
-	m.pass(10 * time.Second)
-	idle := time.Since(began)
-	calls := m.calls
-	served := time.Hour
-	for range 20 {
-		began := time.Now()
-		m.arrive(down)
-		served = min(served, time.Since(began))
+	after := liveHeapBytes()
+	m.failedCalls = 0
+	start := time.Now()
+	m.advance(idleTime)
+	idleCost := time.Since(start)
+	probes := m.failedCalls
+	fastestStep := time.Hour
+	for range upCount {
+		start := time.Now()
+		m.submit(down) // the destinations are numbered from 0: this one is up
+		fastestStep = min(fastestStep, time.Since(start))
 	}
 	runtime.KeepAlive(m)
 	if m.held < n*9/10 {
-		b.Errorf("%d messages held, want %d: there was less to do", m.held, n)
+		b.Errorf("%d messages held, want %d: the measured load is too small", m.held, n)
+	}
+	return map[string]float64{
+		"a: bytes":                                     after - before,
+		"b: us an arrival, 20 a step":                  submitTime.Seconds() * 1e6 / timedCount,
+		"c: % of a core, no traffic":                   idleCost.Seconds() / idleTime.Seconds() * 100,
+		"d: trial calls a second":                      float64(probes) / idleTime.Seconds(),
+		"e: us a step that serves another destination": fastestStep.Seconds() * 1e6,
 	}
-	return map[string]float64{"a: bytes": after - before, "b: us an arrival, 20 a step": spent.Seconds() * 1e6 / last,
-		"c: % of a core, no traffic": idle.Seconds() * 10, "d: trial calls a second": float64(calls) / 10,
-		"e: us a step that serves another destination": served.Seconds() * 1e6}
 }
--- a/internal/knownred/knownred.go
+++ b/internal/knownred/knownred.go
@@ -46,7 +46,7 @@
 // fieldCount is the number of fields of a line.
 const fieldCount = 4
 
-// Parse parses a list. Empty lines are ignored. If lines are invalid, Parse returns the valid entries, and an error that
+// Parse parses a list. Empty lines are ignored. If lines are invalid, Parse returns the valid entries and an error that
 // joins the LineError of each invalid line.
 func Parse(r io.Reader) (entries []Entry, err error) {
 	var errs []error
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -60,9 +60,9 @@
 // addressCount is the number of addresses returned by UniqueAddress.
 var addressCount atomic.Int32
 
-// UniqueAddress returns a loopback address for another process to listen on. Each call returns another IP address, which
-// also depends on the process ID. The port is below the range of ephemeral ports: a free port of that range could be
-// taken by an outgoing connection before the process listens on it.
+// UniqueAddress returns a loopback address for another process to listen on. Each call returns another IP address,
+// which also depends on the process ID. The port is below the range of ephemeral ports: a free port of that range could
+// be taken by an outgoing connection before the process listens on it.
 func UniqueAddress() string {
 	const valuesPerByte = 250 // of an IP address
 	n := addressCount.Add(1)
