--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -30,7 +30,7 @@
 	Ending     *string            `json:"ending"`    // outcome of an attempt
 	Closed     bool               `json:"closed"`    // the message has its final answer
 	Note       int64              `json:"note"`      // QueueFull: retry-after in ms; Ignored: 1 if no slot was free
-	Telemetry  map[string]float64 `json:"telemetry"` // x0: share of the limit that is left; x1: the limit, in calls a second
+	Telemetry  map[string]float64 `json:"telemetry"` // x0: share of the limit left; x1: the limit (calls/s)
 	KeyBack    *int64             `json:"key_back"`  // of the wake-up request
 	PeerSender *int64             `json:"sender"`    // the sender of a hint
 	Bytes      *string            `json:"bytes"`     // encoded hint
@@ -44,16 +44,16 @@
 
 // requiredFields lists the required fields of each event, besides sender_id.
 var requiredFields = map[string][]string{
-	"power_on":         {"nonce64", "env"},
-	"directory_update": {"kind"},
-	"new_request":      {"txn", "dest", "service", "grace_us"},
-	"vanished":         {"txn"},
-	"headers":          {"txn", "endpoint", "round_no", "time_taken_us"},
-	"crash_now":        {},
-	"wakeup":           {"key_back"},
-	"answer":           {"txn", "round_no", "endpoint", "ending", "time_taken_us"},
-	"inbox":            {"sender", "bytes"},
-	"check_result":     {"endpoint", "ending", "time_taken_us"},
+	"power_on":         {"nonce64", "env"},                                         // an instance starts
+	"directory_update": {"kind"},                                                   // list, changes, or failure
+	"new_request":      {"txn", "dest", "service", "grace_us"},                     // a message arrives
+	"vanished":         {"txn"},                                                    // a message is withdrawn
+	"headers":          {"txn", "endpoint", "round_no", "time_taken_us"},           // a response has started
+	"crash_now":        {},                                                         // the instance is killed
+	"wakeup":           {"key_back"},                                               // a requested wake-up is due
+	"answer":           {"txn", "round_no", "endpoint", "ending", "time_taken_us"}, // an attempt has ended
+	"inbox":            {"sender", "bytes"},                                        // a hint of another sender
+	"check_result":     {"endpoint", "ending", "time_taken_us"},                    // a health check has ended
 }
 
 // has reports whether the event has a required field.
