--- a/internal/snapshot/form.go
+++ b/internal/snapshot/form.go
@@ -1,5 +1,5 @@
-// This file owns the form of the file: records of length, checksum and payload, in an order that means something. It must never panic on
-// what it reads, whatever a disk made of it.
+// This file owns the file format: records of length, checksum and payload, whose order has a meaning. It must never
+// panic on what it reads, however corrupt the file is.
 
 package snapshot
 
@@ -17,65 +17,71 @@
 	"eiderhaven/internal/exchange"
 )
 
-// A file is a head, the parts of a whole list and its end, then the changes that have come since, each on top of the one before. What
-// follows a record that is broken means nothing, as it would build on what is not known.
+// The kinds of records. A file consists of a head, the parts of a whole list and their end, then the changes since,
+// each applied to the result of the one before. Records after a broken one are ignored, as they build on something
+// unknown.
 const (
-	kindHead   = 'h' // form, address, names of kinds, names of zones
+	kindHead   = 'h' // format version, address of discovery, names of kinds, names of zones
 	kindPart   = 'p' // some endpoints
 	kindEnd    = 'e' // version, number of endpoints, last change before it
 	kindChange = 'c' // version, endpoints
+)
 
-	form     = 1
-	headLen  = 8        // of a record
-	partSize = 32 << 10 // bytes of a part, about
-	mostLast = 64       // entries of a last change that an end tells
-	usual    = 40       // bytes of an endpoint, about
+const (
+	formatVersion    = 1
+	recordHeadBytes  = 8        // length and checksum of a record
+	partBytes        = 32 << 10 // approximate size of a part
+	maxLastChange    = 64       // entries of a last change; a larger one is not written
+	typicalHostBytes = 40       // of an endpoint in the file
+	readBufferBytes  = 64 << 10
 )
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// appendRecord appends a record whose payload fill appends.
+// appendRecord appends a record whose payload is appended by fill.
 func appendRecord(buf []byte, fill func([]byte) []byte) []byte {
-	at := len(buf)
-	buf = fill(append(buf, make([]byte, headLen)...))
-	payload := buf[at+headLen:]
-	binary.BigEndian.PutUint32(buf[at:], uint32(len(payload)))
-	binary.BigEndian.PutUint32(buf[at+4:], crc32.Checksum(payload, table))
+	start := len(buf)
+	buf = fill(append(buf, make([]byte, recordHeadBytes)...))
+	payload := buf[start+recordHeadBytes:]
+	binary.BigEndian.PutUint32(buf[start:], uint32(len(payload)))
+	binary.BigEndian.PutUint32(buf[start+4:], crc32.Checksum(payload, castagnoli))
 	return buf
 }
 
-func appendText(buf []byte, s string) []byte {
+func appendString(buf []byte, s string) []byte {
 	return append(binary.AppendUvarint(buf, uint64(len(s))), s...)
 }
 
-func appendTexts(buf []byte, list []string) []byte {
+func appendStrings(buf []byte, list []string) []byte {
 	buf = binary.AppendUvarint(buf, uint64(len(list)))
 	for _, s := range list {
-		buf = appendText(buf, s)
+		buf = appendString(buf, s)
 	}
 	return buf
 }
 
-// The marks of an endpoint.
+// The flags of an endpoint.
 const (
-	markDraining = 1 << iota
-	markGone
-	markRate
+	flagDraining = 1 << iota
+	flagGone
+	flagRate // a rate follows
 )
 
+const rateBytes = 8
+
 func appendHost(buf []byte, h exchange.Host) []byte {
-	var marks byte
+	var flags byte
 	if h.Draining {
-		marks |= markDraining
+		flags |= flagDraining
 	}
 	if h.Gone {
-		marks |= markGone
+		flags |= flagGone
 	}
 	if h.Rate != 0 {
-		marks |= markRate
+		flags |= flagRate
 	}
-	buf = appendText(append(buf, marks), h.Name)
-	buf = appendText(buf, h.Addr)
+	buf = appendString(append(buf, flags), h.Name)
+	buf = appendString(buf, h.Addr)
 	buf = binary.AppendVarint(buf, int64(h.Dest))
 	buf = binary.AppendUvarint(buf, uint64(h.Kind))
 	buf = binary.AppendUvarint(buf, uint64(h.Zone))
@@ -92,15 +98,18 @@
 	return buf
 }
 
-// encode writes a state as a file of its own, with no changes.
+// encode writes a state as a complete file without changes.
 func encode(w io.Writer, s *State) error {
 	buf := appendRecord(nil, func(b []byte) []byte {
-		return appendTexts(appendTexts(appendText(append(b, kindHead, form), s.DiscoveryAddress), s.Kinds), s.Zones)
+		b = append(b, kindHead, formatVersion)
+		b = appendString(b, s.DiscoveryAddress)
+		b = appendStrings(b, s.Kinds)
+		return appendStrings(b, s.Zones)
 	})
 	for rest := s.Hosts; len(rest) > 0; {
 		buf = appendRecord(buf, func(b []byte) []byte {
 			b = append(b, kindPart)
-			for begun := len(b); len(rest) > 0 && len(b)-begun < partSize; rest = rest[1:] {
+			for start := len(b); len(rest) > 0 && len(b)-start < partBytes; rest = rest[1:] {
 				b = appendHost(b, rest[0])
 			}
 			return b
@@ -111,13 +120,14 @@
 		buf = buf[:0]
 	}
 	last := s.LastChange
-	if len(last) > mostLast {
+	if len(last) > maxLastChange {
 		last = nil
 	}
 	_, err := w.Write(appendRecord(buf, func(b []byte) []byte {
 		b = binary.AppendVarint(append(b, kindEnd), s.Seq)
 		b = binary.AppendUvarint(b, uint64(len(s.Hosts)))
-		return appendHosts(binary.AppendVarint(b, s.PrevSeq), last)
+		b = binary.AppendVarint(b, s.PrevSeq)
+		return appendHosts(b, last)
 	}))
 	return err
 }
@@ -125,151 +135,169 @@
 // appendChange appends the record of a change.
 func appendChange(buf []byte, seq int64, hosts []exchange.Host) []byte {
 	return appendRecord(buf, func(b []byte) []byte {
-		return appendHosts(binary.AppendVarint(append(b, kindChange), seq), hosts)
+		b = binary.AppendVarint(append(b, kindChange), seq)
+		return appendHosts(b, hosts)
 	})
 }
 
-// cursor reads a payload; after a fault everything reads as zero.
-type cursor struct {
-	text string
-	bad  bool
+// payloadReader reads the values of a payload. After an invalid value it is failed, and every further value is zero.
+type payloadReader struct {
+	rest   string
+	failed bool
 }
 
-func (c *cursor) cut(n int) string {
-	if n < 0 || n > len(c.text) {
-		c.bad, c.text = true, ""
+// take returns the next n bytes.
+func (r *payloadReader) take(n int) string {
+	if n < 0 || n > len(r.rest) {
+		r.failed, r.rest = true, ""
 		return ""
 	}
-	s := c.text[:n]
-	c.text = c.text[n:]
+	s := r.rest[:n]
+	r.rest = r.rest[n:]
 	return s
 }
 
-func (c *cursor) byte() byte {
-	if s := c.cut(1); s != "" {
+func (r *payloadReader) byte() byte {
+	if s := r.take(1); s != "" {
 		return s[0]
 	}
 	return 0
 }
 
-func (c *cursor) uint() (v uint64) {
+func (r *payloadReader) uint() (v uint64) {
 	for shift := 0; shift < 64; shift += 7 {
-		b := c.byte()
+		b := r.byte()
 		v |= uint64(b&0x7f) << shift
 		if b < 0x80 {
 			return v
 		}
 	}
-	c.bad = true
+	r.failed = true
 	return 0
 }
 
-func (c *cursor) int() int64 {
-	u := c.uint()
+func (r *payloadReader) int() int64 {
+	u := r.uint()
 	return int64(u>>1) ^ -int64(u&1)
 }
 
-// string shares the memory of the whole record: of a list, most endpoints stay as long as any.
-func (c *cursor) string() string { return c.cut(int(min(c.uint(), math.MaxInt32))) }
+// string returns a string that shares the memory of the whole record. Little is kept in vain by that, as most endpoints
+// of a list stay as long as any of them.
+func (r *payloadReader) string() string { return r.take(int(min(r.uint(), math.MaxInt32))) }
 
-func (c *cursor) strings() (list []string) {
-	for n := c.uint(); n > 0 && !c.bad; n-- {
-		list = append(list, c.string())
+func (r *payloadReader) strings() (list []string) {
+	for n := r.uint(); n > 0 && !r.failed; n-- {
+		list = append(list, r.string())
 	}
 	return list
 }
 
-func (c *cursor) host() (h exchange.Host) {
-	marks := c.byte()
-	h.Draining, h.Gone = marks&markDraining != 0, marks&markGone != 0
-	h.Name, h.Addr, h.Dest, h.Kind, h.Zone = c.string(), c.string(), int(c.int()), int(c.uint()), int(c.uint())
-	if rate := []byte(c.cut(int(marks&markRate) / markRate * 8)); len(rate) == 8 {
+func (r *payloadReader) host() (h exchange.Host) {
+	flags := r.byte()
+	h.Draining = flags&flagDraining != 0
+	h.Gone = flags&flagGone != 0
+	h.Name = r.string()
+	h.Addr = r.string()
+	h.Dest = int(r.int())
+	h.Kind = int(r.uint())
+	h.Zone = int(r.uint())
+	if rate := []byte(r.take(int(flags&flagRate) / flagRate * rateBytes)); len(rate) == rateBytes {
 		h.Rate = math.Float64frombits(binary.BigEndian.Uint64(rate))
 	}
 	return h
 }
 
-func (c *cursor) hosts(to []exchange.Host) []exchange.Host {
-	for len(c.text) > 0 {
-		if h := c.host(); !c.bad {
+// hosts appends the endpoints in the rest of the payload.
+func (r *payloadReader) hosts(to []exchange.Host) []exchange.Host {
+	for len(r.rest) > 0 {
+		if h := r.host(); !r.failed {
 			to = append(to, h)
 		}
 	}
 	return to
 }
 
-var errForm = errors.New("no whole list in it")
+var errNoWholeList = errors.New("the file does not hold a complete endpoint list in a known format")
 
-// reader reads the records of a file as far as they are whole.
-type reader struct {
+// recordReader reads the records of a file up to the first broken one.
+type recordReader struct {
 	br   *bufio.Reader
 	left int64 // bytes of the file
 	buf  []byte
 }
 
-// next returns the payload of the next record, or nothing at the end or where it is broken.
-func (r *reader) next() (kind byte, c *cursor) {
-	var head [headLen]byte
+// next returns the kind and payload of the next record, or nil at the end of the file or at a broken record.
+func (r *recordReader) next() (kind byte, payload *payloadReader) {
+	var head [recordHeadBytes]byte
 	if _, err := io.ReadFull(r.br, head[:]); err != nil {
 		return 0, nil
 	}
-	r.left -= headLen
+	r.left -= recordHeadBytes
 	n := int64(binary.BigEndian.Uint32(head[:]))
 	if n < 1 || n > r.left {
 		return 0, nil
 	}
 	r.left -= n
 	r.buf = slices.Grow(r.buf[:0], int(n))[:n]
-	if _, err := io.ReadFull(r.br, r.buf); err != nil || crc32.Checksum(r.buf, table) != binary.BigEndian.Uint32(head[4:]) {
+	if _, err := io.ReadFull(r.br, r.buf); err != nil {
 		return 0, nil
 	}
-	return r.buf[0], &cursor{text: string(r.buf[1:])}
+	if crc32.Checksum(r.buf, castagnoli) != binary.BigEndian.Uint32(head[4:]) {
+		return 0, nil
+	}
+	return r.buf[0], &payloadReader{rest: string(r.buf[1:])}
 }
 
-// decode reads a file: the state that it ends in, how many bytes of it are whole, and how many of those are the list without the changes.
-func decode(f *os.File) (s *State, size, base int64, err error) {
+// decode reads a file. It returns the state after the last valid change, how many bytes of the file are valid, and how
+// many of those are the whole list without the changes.
+func decode(f *os.File) (s *State, size, listSize int64, err error) {
 	info, err := f.Stat()
 	if err != nil {
 		return nil, 0, 0, err
 	}
-	r := &reader{br: bufio.NewReaderSize(f, 64<<10), left: info.Size()}
+	r := &recordReader{br: bufio.NewReaderSize(f, readBufferBytes), left: info.Size()}
 	total := r.left
-	kind, c := r.next()
-	if c == nil || kind != kindHead || c.byte() != form {
-		return nil, 0, 0, errForm
+	kind, payload := r.next()
+	if payload == nil || kind != kindHead || payload.byte() != formatVersion {
+		return nil, 0, 0, errNoWholeList
+	}
+	s = &State{
+		DiscoveryAddress: payload.string(),
+		Kinds:            payload.strings(),
+		Zones:            payload.strings(),
+		Hosts:            make([]exchange.Host, 0, total/typicalHostBytes),
 	}
-	s = &State{DiscoveryAddress: c.string(), Kinds: c.strings(), Zones: c.strings(), Hosts: make([]exchange.Host, 0, total/usual)}
-	if c.bad {
-		return nil, 0, 0, errForm
+	if payload.failed {
+		return nil, 0, 0, errNoWholeList
 	}
 	for {
-		kind, c = r.next()
-		if c == nil || kind != kindPart && kind != kindEnd {
-			return nil, 0, 0, errForm
+		kind, payload = r.next()
+		if payload == nil || kind != kindPart && kind != kindEnd {
+			return nil, 0, 0, errNoWholeList
 		}
 		if kind == kindEnd {
 			break
 		}
-		if s.Hosts = c.hosts(s.Hosts); c.bad {
-			return nil, 0, 0, errForm
+		if s.Hosts = payload.hosts(s.Hosts); payload.failed {
+			return nil, 0, 0, errNoWholeList
 		}
 	}
-	s.Seq = c.int()
-	count := c.uint()
-	s.PrevSeq = c.int()
-	if s.LastChange = c.hosts(nil); c.bad || count != uint64(len(s.Hosts)) {
-		return nil, 0, 0, errForm
+	s.Seq = payload.int()
+	count := payload.uint()
+	s.PrevSeq = payload.int()
+	if s.LastChange = payload.hosts(nil); payload.failed || count != uint64(len(s.Hosts)) {
+		return nil, 0, 0, errNoWholeList
 	}
-	base = total - r.left
+	listSize = total - r.left
 	changed := map[string]exchange.Host{}
-	for size = base; ; size = total - r.left {
-		kind, c = r.next()
-		if c == nil || kind != kindChange {
+	for size = listSize; ; size = total - r.left {
+		kind, payload = r.next()
+		if payload == nil || kind != kindChange {
 			break
 		}
-		seq := c.int()
-		hosts := c.hosts(nil)
-		if c.bad {
+		seq := payload.int()
+		hosts := payload.hosts(nil)
+		if payload.failed {
 			break
 		}
 		for _, h := range hosts {
@@ -281,30 +309,31 @@
 		s.Seq = seq
 	}
 	s.apply(changed)
-	return s, size, base, nil
+	return s, size, listSize, nil
 }
 
-// apply brings the list up to date: each endpoint by its name, what is new at the end.
+// apply brings the list up to date: it replaces or removes the changed endpoints by name, and appends new ones.
 func (s *State) apply(changed map[string]exchange.Host) {
 	if len(changed) == 0 {
 		return
 	}
 	kept := s.Hosts[:0]
 	for _, h := range s.Hosts {
-		if now, is := changed[h.Name]; is {
+		if update, found := changed[h.Name]; found {
 			delete(changed, h.Name)
-			h = now
+			h = update
 		}
 		if !h.Gone {
 			kept = append(kept, h)
 		}
 	}
-	begun := len(kept)
+	firstNew := len(kept)
 	for _, h := range changed {
 		if !h.Gone {
 			kept = append(kept, h)
 		}
 	}
-	slices.SortFunc(kept[begun:], func(a, b exchange.Host) int { return strings.Compare(a.Name, b.Name) }) // in an order that repeats
+	byName := func(a, b exchange.Host) int { return strings.Compare(a.Name, b.Name) }
+	slices.SortFunc(kept[firstNew:], byName) // the order must not depend on the map
 	s.Hosts = kept
 }
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -1,11 +1,12 @@
-// Package snapshot keeps the list of endpoints, as discovery last told it, in the folder that outlives the process, so that the next one
-// asks discovery for what is new since and not for all of it. It owns one file there, and another while that is written anew. It
-// must never hold up who hears the list, take room of the folder that the ledger has not granted, nor hand out a list that discovery has
-// not told: a file that is torn counts as far as it is whole, to the version that it has there.
+// Package snapshot keeps the list of endpoints, as last received from discovery, in the state directory, so that the
+// next process asks discovery only for what has changed since. It owns one file there, and a temporary one while that
+// is rewritten. It must never delay the users of the list, use space of the directory that the ledger has not granted,
+// nor return a list that discovery has not sent: a truncated file counts up to its last valid record, as the version
+// that record has.
 //
-// A whole list is written aside and renamed; changes are appended, so that one costs its own bytes. Once the file has grown to twice the
-// list it is written anew. Nothing is synced: what was written outlives the process, and an older version is as right as the newest,
-// as discovery tells what came after it.
+// A whole list is written to the temporary file and renamed. A change is appended, so that it costs its own bytes only.
+// Once the file has grown to twice the list it is rewritten. Nothing is synced: what was written outlives the process,
+// and an older version is as good as the newest, as discovery reports what came after it.
 package snapshot
 
 import (
@@ -26,38 +27,43 @@
 	"eiderhaven/internal/ledger"
 )
 
-// State is a whole list, with where it came from and what its numbers mean.
+// State is a whole list, with where it came from and the names of its kinds and zones.
 type State struct {
-	DiscoveryAddress string // discovery's address
+	DiscoveryAddress string
 	Kinds, Zones     []string
 	Seq              int64
-	PrevSeq          int64 // the version that the last change followed on
+	PrevSeq          int64 // the version that the last change was applied to
 	LastChange       []exchange.Host
 	Hosts            []exchange.Host
 }
 
 const (
-	writeRate   = 256 << 10              // bytes a second of whole lists that are written, on average: 8.5 MB for 210,000 endpoints, each 33 s at most
-	leastPause  = 100 * time.Millisecond // between two whole lists
-	retryPause  = time.Second            // after a failure, doubled with each up to
-	retryMost   = time.Minute
-	mostWaiting = 100_000  // entries of changes that wait to be written
-	leastGrowth = 64 << 10 // bytes of changes, whatever the size of the list, before the file is written anew
+	// fullWriteRate limits, on average, the bytes per second of whole lists that are written. A list of 210,000
+	// endpoints has 8.5 MB, so it is written every 33 s at most.
+	fullWriteRate = 256 << 10
+
+	minFullWriteGap   = 100 * time.Millisecond // between two whole lists
+	initialRetryDelay = time.Second            // doubled after each further failure, up to maxRetryDelay
+	maxRetryDelay     = time.Minute
+	maxQueuedHosts    = 100_000  // entries of changes that wait to be written
+	minGrowth         = 64 << 10 // bytes of changes, however short the list, before the file is rewritten
+	writeBufferBytes  = 64 << 10
+	fileMode          = 0o600
 )
 
 var (
-	errNoRoom = errors.New("no room for it in the folder")
-	errOther  = errors.New("the file is not the one that was left")
+	errNoSpace      = errors.New("no space granted in the state directory for the endpoint list")
+	errFileReplaced = errors.New("the file of the endpoint list was removed or truncated by another program")
 )
 
-// note is a list or a change that is to be written.
-type note struct {
-	at         string // empty: what is in force is not known from here on
+// update is a list or a change that is to be written.
+type update struct {
+	addr       string // of discovery; empty: the list in force is not known as a whole from here on
 	since, seq int64
 	list       exchange.Listing
 }
 
-// file is a file that is written.
+// file is a file open for writing.
 type file interface {
 	io.WriteCloser
 	io.WriterAt
@@ -65,114 +71,124 @@
 	Stat() (os.FileInfo, error)
 }
 
-// Keeper writes what is heard.
+// Store writes the lists and changes that it is given.
 type Store struct {
-	path, aside  string
-	kinds, zones []string
-	room         func(bytes int64) bool
-	log          *slog.Logger
-	open         func(path string, flag int) (file, error) // tests let a disk be full
+	path, tempPath string
+	kinds, zones   []string
+	reserve        func(bytes int64) bool
+	log            *slog.Logger
+	openFile       func(path string, flag int) (file, error) // replaced in tests, for instance by a full disk
 
-	mu      sync.Mutex
-	queue   []*note
-	waiting int // entries of the changes in it
-	more    chan struct{}
+	mu          sync.Mutex
+	queue       []*update
+	queuedHosts int // entries of the changes in the queue
+	queued      chan struct{}
 
-	// Of Run alone.
-	at         string // of the list in the file, empty if it has none that may be gone on with
-	seq        int64
-	size, base int64     // bytes of the file, and of the list at its beginning
-	next       time.Time // when a whole list may be written
+	// Used by Run alone.
+	addr          string // where the list in the file came from; empty if the file cannot be continued
+	seq           int64
+	size          int64     // bytes of the file
+	listSize      int64     // bytes of the whole list at its beginning
+	nextFullWrite time.Time // earliest time to write a whole list
 
-	BytesWritten atomic.Int64 // bytes
-	Unwritten    atomic.Int64 // lists and changes that could not be written at once, or at all
+	BytesWritten atomic.Int64
+	Unwritten    atomic.Int64 // lists and changes that could not be written at once, or not at all
 }
 
-// Open returns the list in a folder, or nil if there is none that is whole, and what keeps it up to date. The list is of use only where
-// the names of kinds and zones are the same. Room is asked for the bytes of all files here before any is written.
-func Open(dir string, kinds, zones []string, room func(bytes int64) bool, log *slog.Logger) (*Store, *State) {
-	k := &Store{path: filepath.Join(dir, ledger.ListFile), aside: filepath.Join(dir, ledger.ListTempFile), kinds: kinds, zones: zones, room: room,
-		log: log, more: make(chan struct{}, 1), open: func(path string, flag int) (file, error) { return os.OpenFile(path, flag, 0o600) }}
-	if err := os.Remove(k.aside); err != nil && !errors.Is(err, os.ErrNotExist) {
-		log.Warn("half a list of endpoints could not be removed", "err", err)
+// Open returns the store of a directory and the list in it, or nil if there is no valid one. A list is of use only with
+// the same names of kinds and zones. Before any file is written, reserve is asked for the total size of all files here.
+func Open(dir string, kinds, zones []string, reserve func(bytes int64) bool, log *slog.Logger) (*Store, *State) {
+	st := &Store{
+		path:     filepath.Join(dir, ledger.ListFile),
+		tempPath: filepath.Join(dir, ledger.ListTempFile),
+		kinds:    kinds,
+		zones:    zones,
+		reserve:  reserve,
+		log:      log,
+		queued:   make(chan struct{}, 1),
+		openFile: func(path string, flag int) (file, error) { return os.OpenFile(path, flag, fileMode) },
+	}
+	if err := os.Remove(st.tempPath); err != nil && !errors.Is(err, os.ErrNotExist) {
+		log.Warn("cannot remove the temporary file of the endpoint list", "err", err)
 	}
-	s, err := k.load()
+	s, err := st.load()
 	switch {
 	case errors.Is(err, os.ErrNotExist):
-		return k, nil
-	case errors.Is(err, errForm):
-		log.Warn("the list of endpoints in the folder cannot be used and goes", "err", err)
-		if err := os.Remove(k.path); err != nil {
-			log.Warn("it could not be removed", "err", err)
+		return st, nil
+	case errors.Is(err, errNoWholeList):
+		log.Warn("the endpoint list in the state directory cannot be used and is removed", "err", err)
+		if err := os.Remove(st.path); err != nil {
+			log.Warn("cannot remove the unusable endpoint list", "err", err)
 		}
-		return k, nil
+		return st, nil
 	case err != nil:
-		log.Warn("the list of endpoints in the folder cannot be read", "err", err)
-		return k, nil
+		log.Warn("cannot read the endpoint list in the state directory", "err", err)
+		return st, nil
 	case !slices.Equal(s.Kinds, kinds) || !slices.Equal(s.Zones, zones):
-		log.Info("the list of endpoints in the folder is from before the settings changed")
-		return k, nil
+		log.Info("the endpoint list in the state directory is not used: it dates from before the settings changed")
+		return st, nil
 	}
-	k.at, k.seq = s.DiscoveryAddress, s.Seq
-	return k, s
+	st.addr, st.seq = s.DiscoveryAddress, s.Seq
+	return st, s
 }
 
 // load reads the file.
-func (k *Store) load() (*State, error) {
-	f, err := os.Open(k.path)
+func (st *Store) load() (*State, error) {
+	f, err := os.Open(st.path)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	s, size, base, err := decode(f)
-	k.size, k.base = size, base
+	s, size, listSize, err := decode(f)
+	st.size, st.listSize = size, listSize
 	return s, err
 }
 
-// Keep takes what was heard of discovery at an address: a whole list, or a change that follows on a version. An empty address tells that
-// the list in force is not known whole from here on. It does not wait.
-func (k *Store) Save(at string, since, seq int64, l exchange.Listing) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if l.Whole || at == "" { // what came before does not matter any more
-		k.queue, k.waiting = nil, 0
+// Save queues what was received from discovery at addr: a whole list, or a change that builds on version since. An
+// empty addr means that the list in force is not known as a whole from here on. Save does not block.
+func (st *Store) Save(addr string, since, seq int64, l exchange.Listing) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	if l.Whole || addr == "" { // replaces all that is queued
+		st.queue, st.queuedHosts = nil, 0
 	} else {
-		k.waiting += len(l.Hosts)
+		st.queuedHosts += len(l.Hosts)
 	}
-	if k.waiting > mostWaiting { // the disk does not take them: the file stays at its version
-		k.Unwritten.Add(int64(len(k.queue)))
-		k.queue, k.waiting, at, l = nil, 0, "", exchange.Listing{}
+	if st.queuedHosts > maxQueuedHosts { // the disk is too slow or fails: the file stays at its version
+		st.Unwritten.Add(int64(len(st.queue)))
+		st.queue, st.queuedHosts = nil, 0
+		addr, l = "", exchange.Listing{}
 	}
-	k.queue = append(k.queue, &note{at, since, seq, l})
+	st.queue = append(st.queue, &update{addr, since, seq, l})
 	select {
-	case k.more <- struct{}{}:
+	case st.queued <- struct{}{}:
 	default:
 	}
 }
 
-// Run writes until the context ends, and then what waits.
-func (k *Store) Run(ctx context.Context) {
+// Run writes what is queued until the context ends, then the rest of the queue.
+func (st *Store) Run(ctx context.Context) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	failed := time.Duration(0)
+	retryDelay := time.Duration(0) // 0 unless the latest write failed
 	for {
 		select {
 		case <-ctx.Done():
-			k.next = time.Time{}
-			k.flush()
+			st.nextFullWrite = time.Time{}
+			st.flush()
 			return
-		case <-k.more:
-			if failed > 0 { // the retry is on its way
+		case <-st.queued:
+			if retryDelay > 0 { // the timer starts the retry
 				continue
 			}
 		case <-timer.C:
 		}
-		wait, err := k.flush()
+		wait, err := st.flush()
 		if err == nil {
-			failed = 0
+			retryDelay = 0
 		} else {
-			failed = min(max(2*failed, retryPause), retryMost)
-			wait = failed
+			retryDelay = min(max(2*retryDelay, initialRetryDelay), maxRetryDelay)
+			wait = retryDelay
 		}
 		if wait > 0 {
 			timer.Reset(wait)
@@ -180,152 +196,163 @@
 	}
 }
 
-// flush writes what waits, oldest first. It returns how long to wait before more can be written, if anything is left.
-func (k *Store) flush() (wait time.Duration, err error) {
+// flush writes the queue, oldest update first. If something is left because a whole list must not be written yet, it
+// returns how long to wait.
+func (st *Store) flush() (wait time.Duration, err error) {
 	for {
-		k.mu.Lock()
-		if len(k.queue) == 0 {
-			k.mu.Unlock()
+		st.mu.Lock()
+		if len(st.queue) == 0 {
+			st.mu.Unlock()
 			return 0, nil
 		}
-		n := k.queue[0]
-		k.mu.Unlock()
-		if wait := time.Until(k.next); n.list.Whole && wait > 0 {
+		u := st.queue[0]
+		st.mu.Unlock()
+		if wait := time.Until(st.nextFullWrite); u.list.Whole && wait > 0 {
 			return wait, nil
 		}
-		if err := k.write(n); err != nil && !errors.Is(err, errOther) {
-			if k.Unwritten.Add(1) == 1 {
-				k.log.Warn("the list of endpoints could not be kept; further failures are only counted", "err", err)
+		if err := st.write(u); err != nil && !errors.Is(err, errFileReplaced) {
+			if st.Unwritten.Add(1) == 1 {
+				st.log.Warn("cannot write the endpoint list to the state directory; further failures are only counted",
+					"err", err)
 			}
 			return 0, err
 		}
-		k.mu.Lock()
-		if len(k.queue) > 0 && k.queue[0] == n { // else a whole list has come meanwhile
-			k.queue = k.queue[1:]
-			if !n.list.Whole {
-				k.waiting -= len(n.list.Hosts)
+		st.mu.Lock()
+		if len(st.queue) > 0 && st.queue[0] == u { // else a whole list has replaced the queue meanwhile
+			st.queue = st.queue[1:]
+			if !u.list.Whole {
+				st.queuedHosts -= len(u.list.Hosts)
 			}
 		}
-		k.mu.Unlock()
+		st.mu.Unlock()
 	}
 }
 
-// write writes one note. A change that does not follow on what the file holds is none of its.
-func (k *Store) write(n *note) error {
+// write writes one update. It ignores a change that does not build on what the file holds.
+func (st *Store) write(u *update) error {
 	switch {
-	case n.at == "":
-		k.at = ""
+	case u.addr == "":
+		st.addr = ""
 		return nil
-	case n.list.Whole:
-		return k.replace(&State{DiscoveryAddress: n.at, Kinds: k.kinds, Zones: k.zones, Seq: n.seq, Hosts: n.list.Hosts})
-	case k.at != n.at || k.seq != n.since:
+	case u.list.Whole:
+		return st.replace(&State{
+			DiscoveryAddress: u.addr,
+			Kinds:            st.kinds,
+			Zones:            st.zones,
+			Seq:              u.seq,
+			Hosts:            u.list.Hosts,
+		})
+	case st.addr != u.addr || st.seq != u.since:
 		return nil
 	}
-	if err := k.add(n); err != nil {
+	if err := st.appendUpdate(u); err != nil {
 		return err
 	}
-	if k.size > 2*k.base+leastGrowth && time.Until(k.next) <= 0 {
-		if err := k.compact(); err != nil { // the change is in the file: it only goes on growing
-			k.Unwritten.Add(1)
-			k.next = time.Now().Add(retryMost)
+	if st.size > 2*st.listSize+minGrowth && time.Until(st.nextFullWrite) <= 0 {
+		if err := st.compact(); err != nil { // no failure of the change, which is in the file; the file only keeps growing
+			st.Unwritten.Add(1)
+			st.nextFullWrite = time.Now().Add(maxRetryDelay)
 		}
 	}
 	return nil
 }
 
-// replace writes a whole list aside and puts it in the place of the file.
-func (k *Store) replace(s *State) error {
-	need := &counter{to: io.Discard}
-	encode(need, s) // nothing can fail
-	if !k.room(k.size + need.n) {
-		return errNoRoom
+// replace writes a whole list to the temporary file and renames that to the file.
+func (st *Store) replace(s *State) error {
+	needed := &countingWriter{to: io.Discard}
+	encode(needed, s) // cannot fail
+	if !st.reserve(st.size + needed.n) {
+		return errNoSpace
 	}
-	f, err := k.open(k.aside, os.O_CREATE|os.O_TRUNC|os.O_WRONLY)
+	f, err := st.openFile(st.tempPath, os.O_CREATE|os.O_TRUNC|os.O_WRONLY)
 	if err != nil {
-		k.room(k.size)
+		st.reserve(st.size)
 		return err
 	}
-	w := &counter{to: f}
-	bw := bufio.NewWriterSize(w, 64<<10)
+	w := &countingWriter{to: f}
+	bw := bufio.NewWriterSize(w, writeBufferBytes)
 	if err = encode(bw, s); err == nil {
 		err = bw.Flush()
 	}
-	k.BytesWritten.Add(w.n)
-	if cerr := f.Close(); err == nil {
-		err = cerr
+	st.BytesWritten.Add(w.n)
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
 	}
 	if err == nil {
-		err = os.Rename(k.aside, k.path)
+		err = os.Rename(st.tempPath, st.path)
 	}
 	if err != nil {
-		os.Remove(k.aside)
-		k.room(k.size)
+		os.Remove(st.tempPath)
+		st.reserve(st.size)
 		return err
 	}
-	k.at, k.seq, k.size, k.base = s.DiscoveryAddress, s.Seq, w.n, w.n
-	k.next = time.Now().Add(max(leastPause, time.Duration(w.n)*time.Second/writeRate))
-	k.room(k.size)
+	st.addr, st.seq = s.DiscoveryAddress, s.Seq
+	st.size, st.listSize = w.n, w.n
+	st.nextFullWrite = time.Now().Add(max(minFullWriteGap, time.Duration(w.n)*time.Second/fullWriteRate))
+	st.reserve(st.size)
 	return nil
 }
 
-// add appends a change. What a failure or a kill left behind the last whole record goes first: it must not come to stand behind a new one.
-func (k *Store) add(n *note) error {
-	record := appendChange(nil, n.seq, n.list.Hosts)
-	if !k.room(k.size + int64(len(record))) {
-		return errNoRoom
+// appendUpdate appends a change to the file. It first cuts off what a failed write or a kill left after the last valid
+// record, so that such a rest never stands after a new record.
+func (st *Store) appendUpdate(u *update) error {
+	record := appendChange(nil, u.seq, u.list.Hosts)
+	if !st.reserve(st.size + int64(len(record))) {
+		return errNoSpace
 	}
-	f, err := k.open(k.path, os.O_WRONLY)
+	f, err := st.openFile(st.path, os.O_WRONLY)
 	if err != nil {
-		return k.lose(err)
+		return st.abandonFile(err)
 	}
 	defer f.Close()
 	info, err := f.Stat()
-	if err != nil || info.Size() < k.size {
-		return k.lose(err)
+	if err != nil || info.Size() < st.size {
+		return st.abandonFile(err)
 	}
-	if info.Size() > k.size {
-		if err := f.Truncate(k.size); err != nil {
+	if info.Size() > st.size {
+		if err := f.Truncate(st.size); err != nil {
 			return err
 		}
 	}
-	if _, err := f.WriteAt(record, k.size); err != nil {
-		f.Truncate(k.size)
+	if _, err := f.WriteAt(record, st.size); err != nil {
+		f.Truncate(st.size)
 		return err
 	}
-	k.seq = n.seq
-	k.size += int64(len(record))
-	k.BytesWritten.Add(int64(len(record)))
+	st.seq = u.seq
+	st.size += int64(len(record))
+	st.BytesWritten.Add(int64(len(record)))
 	return nil
 }
 
-// lose gives the file up if it is gone or has shrunk: somebody else has been at it.
-func (k *Store) lose(err error) error {
+// abandonFile stops continuing the file if it is gone (os.ErrNotExist) or has shrunk (nil): another program has changed
+// it. It returns any other error as it is.
+func (st *Store) abandonFile(err error) error {
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
 	}
-	k.Unwritten.Add(1)
-	k.at = ""
-	return fmt.Errorf("%w: %v", errOther, err)
+	st.Unwritten.Add(1)
+	st.addr = ""
+	return fmt.Errorf("%w: %v", errFileReplaced, err)
 }
 
-// compact writes the file anew as one list. It reads it for that, as nobody else here holds the whole of it: that claims the list's
-// memory once more for a moment, when as much as the list itself has changed.
-func (k *Store) compact() error {
-	s, err := k.load()
+// compact rewrites the file as one whole list. It reads the list from the file, as nothing here holds it in memory; so
+// the list takes its memory a second time for a moment, once per as many changes as the list is long.
+func (st *Store) compact() error {
+	s, err := st.load()
 	if err != nil {
 		return err
 	}
-	return k.replace(s)
+	return st.replace(s)
 }
 
-// counter counts what is written.
-type counter struct {
+// countingWriter counts the bytes written.
+type countingWriter struct {
 	to io.Writer
 	n  int64
 }
 
-func (c *counter) Write(p []byte) (int, error) {
-	n, err := c.to.Write(p)
-	c.n += int64(n)
+func (w *countingWriter) Write(p []byte) (int, error) {
+	n, err := w.to.Write(p)
+	w.n += int64(n)
 	return n, err
 }
