--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -1,4 +1,4 @@
-// This file says which values of the settings a sender cannot work with, by key and range. It must never change one.
+// This file owns the valid range of each settings key. It must never change a value.
 
 package settings
 
@@ -9,51 +9,52 @@
 	"strings"
 )
 
-// check tells what is out of range: nil, or one error that names every such key, what it holds and what it may hold.
-func (e *envFields) check() error {
-	const most = 1_000_000
-	const hour = 3600 * most // in the settings' microseconds
-	var wrong []string
-	within := func(key string, v, least, most float64) {
-		if v < least || v > most {
-			wrong = append(wrong, fmt.Sprintf("%s is %.10g, want %.10g to %.10g", key, v, least, most))
+// checkRanges returns nil, or one error that names every key out of range with its value and the allowed ones.
+func (e *envFields) checkRanges() error {
+	const maxCount = 1_000_000
+	const hour = 3600 * 1_000_000 // in microseconds, the unit of times in the settings
+	var problems []string
+	requireRange := func(key string, value, lowest, highest float64) {
+		if value < lowest || value > highest {
+			problems = append(problems, fmt.Sprintf("%s is %.10g, want %.10g to %.10g", key, value, lowest, highest))
 		}
 	}
-	oneOf := func(key, v string, words ...string) {
-		if v != "" && !slices.Contains(words, v) {
-			wrong = append(wrong, fmt.Sprintf("%s is %q, want one of %q", key, v, words))
+	requireOneOf := func(key, value string, allowed ...string) {
+		if value != "" && !slices.Contains(allowed, value) {
+			problems = append(problems, fmt.Sprintf("%s is %q, want one of %q", key, value, allowed))
 		}
 	}
-	oneOf("weights", e.Weights, "silent", "nominal", "rough")
-	oneOf("registry_mode", e.RegistryMode, "push", "ask")
-	oneOf("extra.late", e.Extra.Late, "linear", "halving")
-	within("balancers", float64(e.Balancers), 1, most)
-	within("extra.slots", float64(e.Extra.Slots), 1, most)
-	within("allowed.max_open", float64(e.Allowed.MaxOpen), 1, most)
-	within("tick_us", float64(e.Tick), 1, hour)
-	within("allowed.connect_timeout_us", float64(e.Allowed.ConnectTimeout), 0, hour)
-	within("safety.cold_share", e.Safety.ColdShare, 0, 1)
-	within("safety.drain_grace_us", float64(e.Safety.DrainGrace), 0, hour)
-	within("safety.fall_us", float64(e.Safety.Fall), 0, hour)
-	within("safety.order_pause_us", float64(e.Safety.OrderPause), 0, hour)
-	within("safety.overload_factor", e.Safety.OverloadFactor, 1, 1000) // below 1 any load pushes a return over
-	within("safety.grace_to_answer_us", float64(e.Safety.AnswerGrace), 0, hour)
-	within("safety.ask_every_us", float64(e.Safety.AskEvery), 0, hour)
-	within("allowed.keepalive_us", float64(e.Allowed.KeepAlive), 0, hour)
-	within("allowed.max_retry_after_us", float64(e.Allowed.MaxRetryAfter), 0, hour)
-	within("allowed.max_attempts", float64(e.Allowed.MaxAttempts), 1, most)
-	within("safety.warm_up_us", float64(e.Safety.WarmUp), 0, hour)
-	within("number of request_classes", float64(len(e.Classes)), 1, most)
+	requireOneOf("weights", e.Weights, "silent", "nominal", "rough")
+	requireOneOf("registry_mode", e.RegistryMode, "push", "ask")
+	requireOneOf("extra.late", e.Extra.Late, "linear", "halving")
+	requireRange("balancers", float64(e.Balancers), 1, maxCount)
+	requireRange("extra.slots", float64(e.Extra.Slots), 1, maxCount)
+	requireRange("allowed.max_open", float64(e.Allowed.MaxOpen), 1, maxCount)
+	requireRange("tick_us", float64(e.Tick), 1, hour)
+	requireRange("allowed.connect_timeout_us", float64(e.Allowed.ConnectTimeout), 0, hour)
+	requireRange("safety.cold_share", e.Safety.ColdShare, 0, 1)
+	requireRange("safety.drain_grace_us", float64(e.Safety.DrainGrace), 0, hour)
+	requireRange("safety.fall_us", float64(e.Safety.Fall), 0, hour)
+	requireRange("safety.order_pause_us", float64(e.Safety.OrderPause), 0, hour)
+	// Below 1 any load would overload a recovering destination.
+	requireRange("safety.overload_factor", e.Safety.OverloadFactor, 1, 1000)
+	requireRange("safety.grace_to_answer_us", float64(e.Safety.AnswerGrace), 0, hour)
+	requireRange("safety.ask_every_us", float64(e.Safety.AskEvery), 0, hour)
+	requireRange("allowed.keepalive_us", float64(e.Allowed.KeepAlive), 0, hour)
+	requireRange("allowed.max_retry_after_us", float64(e.Allowed.MaxRetryAfter), 0, hour)
+	requireRange("allowed.max_attempts", float64(e.Allowed.MaxAttempts), 1, maxCount)
+	requireRange("safety.warm_up_us", float64(e.Safety.WarmUp), 0, hour)
+	requireRange("number of request_classes", float64(len(e.Classes)), 1, maxCount)
 	for i, c := range e.Classes {
 		key := fmt.Sprintf("request_classes[%d].", i)
-		within(key+"deadline_us", float64(c.Deadline), 1, hour)
-		within(key+"goal_time_us", float64(c.GoalTime), 0, float64(c.Deadline))
-		within(key+"late_worth", c.LateWorth, 0, 1)
-		within(key+"window_us", float64(c.Window), 0, hour)
-		within(key+"worth", c.Worth, 0, most)
+		requireRange(key+"deadline_us", float64(c.Deadline), 1, hour)
+		requireRange(key+"goal_time_us", float64(c.GoalTime), 0, float64(c.Deadline))
+		requireRange(key+"late_worth", c.LateWorth, 0, 1)
+		requireRange(key+"window_us", float64(c.Window), 0, hour)
+		requireRange(key+"worth", c.Worth, 0, maxCount)
 	}
-	if len(wrong) > 0 {
-		return errors.New(strings.Join(wrong, "; "))
+	if len(problems) > 0 {
+		return errors.New(strings.Join(problems, "; "))
 	}
 	return nil
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads the start-up settings, which the simulator's wire and a real sender's configuration
-// hold in the same form. It owns their names and units, and must never decide anything or supply a value that
-// the settings lack.
+// Package settings reads the start-up settings, which have the same JSON form in the simulator's protocol and in the
+// configuration file of a real sender. It owns their keys and units. It must never decide anything, nor supply a value
+// that the settings lack.
 package settings
 
 import (
@@ -11,7 +11,7 @@
 	"eiderhaven/rules"
 )
 
-// envFields are the start-up settings that the module uses; other keys are skipped.
+// envFields holds the start-up settings that the decision module uses; other keys are ignored.
 type envFields struct {
 	Allowed struct {
 		ConnectTimeout int64 `json:"connect_timeout_us"`
@@ -73,7 +73,8 @@
 	"": rules.DedupDestination, "all": rules.DedupDestination, "zone": rules.DedupZone, "cell": rules.DedupEndpoint,
 }
 
-// Names are the words that the wire uses where the module counts: a position in a list is the module's number.
+// Names holds the names of classes, kinds, zones and tenants in the settings. The decision module identifies each by a
+// number, which is its index here.
 type Names struct {
 	Classes []string
 	Kinds   []string
@@ -81,7 +82,8 @@
 	Tenants []string
 }
 
-// Decode reads a settings object as it comes: what the module needs, and the names behind its numbers.
+// Decode reads a settings object without checking ranges. It returns what the decision module needs, and the names
+// that belong to its numbers.
 func Decode(text []byte, seed uint64) (*rules.Settings, *Names, error) {
 	var e envFields
 	if err := json.Unmarshal(text, &e); err != nil {
@@ -90,13 +92,13 @@
 	return e.decode(seed)
 }
 
-// DecodeChecked reads one that people have written: what is out of range is an error, see check.go.
+// DecodeChecked is Decode for a settings object written by people: a value out of range is an error (check.go).
 func DecodeChecked(text []byte, seed uint64) (*rules.Settings, *Names, error) {
 	var e envFields
 	if err := json.Unmarshal(text, &e); err != nil {
 		return nil, nil, err
 	}
-	if err := e.check(); err != nil {
+	if err := e.checkRanges(); err != nil {
 		return nil, nil, err
 	}
 	return e.decode(seed)
@@ -104,18 +106,33 @@
 
 func (e *envFields) decode(seed uint64) (*rules.Settings, *Names, error) {
 	s := &rules.Settings{
-		Seed: seed, Senders: e.Balancers, Zone: e.Az, Tick: micros(e.Tick),
-		Slots: e.Extra.Slots, MaxHeld: e.Allowed.MaxOpen, MaxAttempts: e.Allowed.MaxAttempts,
-		ConnectTimeout: micros(e.Allowed.ConnectTimeout), KeepAlive: micros(e.Allowed.KeepAlive),
-		MaxRetryAfter: micros(e.Allowed.MaxRetryAfter), MaySendRetryAfter: e.Allowed.RetryAfter,
-		MayCancel: e.Allowed.MayCancel, MayShareHints: e.Allowed.Peers,
-		AnswerGrace: micros(e.Safety.AnswerGrace), DrainGrace: micros(e.Safety.DrainGrace),
-		ColdShare: e.Safety.ColdShare, WarmUp: micros(e.Safety.WarmUp), FallWindow: micros(e.Safety.Fall),
-		OverloadFactor: e.Safety.OverloadFactor, OrderPause: micros(e.Safety.OrderPause),
-		WatchesRegistry: e.RegistryMode == "ask", WatchInterval: micros(e.Safety.AskEvery),
-		RatesListed: e.Weights == "nominal" || e.Weights == "rough", RatesExact: e.Weights == "nominal",
-		LateHalving:    e.Extra.Late == "halving",
-		OverShareWorth: e.OverShareWorth, ZoneCosts: e.Extra.Toll,
+		Seed:              seed,
+		Senders:           e.Balancers,
+		Zone:              e.Az,
+		Tick:              micros(e.Tick),
+		Slots:             e.Extra.Slots,
+		MaxHeld:           e.Allowed.MaxOpen,
+		MaxAttempts:       e.Allowed.MaxAttempts,
+		ConnectTimeout:    micros(e.Allowed.ConnectTimeout),
+		KeepAlive:         micros(e.Allowed.KeepAlive),
+		MaxRetryAfter:     micros(e.Allowed.MaxRetryAfter),
+		MaySendRetryAfter: e.Allowed.RetryAfter,
+		MayCancel:         e.Allowed.MayCancel,
+		MayShareHints:     e.Allowed.Peers,
+		AnswerGrace:       micros(e.Safety.AnswerGrace),
+		DrainGrace:        micros(e.Safety.DrainGrace),
+		ColdShare:         e.Safety.ColdShare,
+		WarmUp:            micros(e.Safety.WarmUp),
+		FallWindow:        micros(e.Safety.Fall),
+		OverloadFactor:    e.Safety.OverloadFactor,
+		OrderPause:        micros(e.Safety.OrderPause),
+		WatchesRegistry:   e.RegistryMode == "ask",
+		WatchInterval:     micros(e.Safety.AskEvery),
+		RatesListed:       e.Weights == "nominal" || e.Weights == "rough",
+		RatesExact:        e.Weights == "nominal",
+		LateHalving:       e.Extra.Late == "halving",
+		OverShareWorth:    e.OverShareWorth,
+		ZoneCosts:         e.Extra.Toll,
 	}
 	for i := range max(len(e.Flavors), len(e.Extra.Batch), len(e.Extra.Routes)) {
 		var k rules.Kind
@@ -138,9 +155,16 @@
 		if !known {
 			return nil, nil, fmt.Errorf("class %d: unknown scope %q", i, c.Scope)
 		}
-		s.Classes = append(s.Classes, rules.Class{Effect: effect, Scope: scope, Window: micros(c.Window),
-			Aim: micros(c.GoalTime), Deadline: micros(c.Deadline), Worth: c.Worth, LateWorth: c.LateWorth,
-			KeepOrder: c.KeepOrder})
+		s.Classes = append(s.Classes, rules.Class{
+			Effect:    effect,
+			Scope:     scope,
+			Window:    micros(c.Window),
+			Aim:       micros(c.GoalTime),
+			Deadline:  micros(c.Deadline),
+			Worth:     c.Worth,
+			LateWorth: c.LateWorth,
+			KeepOrder: c.KeepOrder,
+		})
 	}
 	for _, p := range e.Parties {
 		s.Tenants = append(s.Tenants, rules.Tenant{Quota: p.Quota})
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -12,8 +12,8 @@
 	"eiderhaven/rules"
 )
 
-// example is the settings object of the example configuration.
-func example(t *testing.T) string {
+// exampleSettings returns the settings object of the example configuration.
+func exampleSettings(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile("../../example/config.json")
 	if err != nil {
@@ -27,7 +27,7 @@
 }
 
 func TestDecode(t *testing.T) {
-	s, names, err := Decode([]byte(example(t)), 42)
+	s, names, err := Decode([]byte(exampleSettings(t)), 42)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,16 +44,16 @@
 	}
 }
 
-// What the wire's form forbids is refused in any case, what is out of range only where people wrote it; then every such key
-// is named.
-func TestWhatIsRefused(t *testing.T) {
-	good := example(t)
+// Both Decode and DecodeChecked refuse what the format forbids. Only DecodeChecked refuses values out of range, and
+// names every such key.
+func TestInvalidSettings(t *testing.T) {
+	good := exampleSettings(t)
 	if _, _, err := DecodeChecked([]byte(good), 1); err != nil {
 		t.Fatalf("the example: %v", err)
 	}
 	for _, c := range []struct {
 		from, to string
-		want     string // "" for any error, by either reading
+		want     string // error of DecodeChecked; "" if both functions must return an error
 	}{
 		{"{", "", ""},
 		{"idempotent", "sometimes", ""},
@@ -70,7 +70,7 @@
 		{`"late_worth": 0.4`, `"late_worth": 4`, "request_classes[0].late_worth is 4, want 0 to 1"},
 		{`"goal_time_us": 2500000`, `"goal_time_us": 25000000`, "request_classes[0].goal_time_us is 25000000, want 0 to 16000000"},
 		{`"request_classes"`, `"classes"`, "number of request_classes is 0, want 1 to 1000000"},
-		{`"balancers": 1,`, `"balancers": 0, "tick_us": 0, "unread": {`, ""}, // spoilt on top: the form comes first
+		{`"balancers": 1,`, `"balancers": 0, "tick_us": 0, "unread": {`, ""}, // also invalid JSON: that error comes first
 		{`"warm_up_us": 10000000}`, `"warm_up_us": -1, "overload_factor": -1}`,
 			"safety.overload_factor is -1, want 1 to 1000; safety.warm_up_us is -1, want 0 to 3600000000"},
 		{`"overload_factor": 2.0`, `"overload_factor": 0.5`, "safety.overload_factor is 0.5, want 1 to 1000"},
@@ -82,29 +82,29 @@
 	} {
 		bad := strings.Replace(good, c.from, c.to, 1)
 		if bad == good {
-			t.Fatalf("nothing to change: %s", c.from)
+			t.Fatalf("the example does not contain %s", c.from)
 		}
-		_, _, lax := Decode([]byte(bad), 1)
-		_, _, strict := DecodeChecked([]byte(bad), 1)
-		if strict == nil || c.want != "" && strict.Error() != c.want || (lax == nil) != (c.want != "") {
-			t.Errorf("%s: as it comes %v; checked\ngot  %v\nwant %s", c.to, lax, strict, c.want)
+		_, _, plainErr := Decode([]byte(bad), 1)
+		_, _, checkedErr := DecodeChecked([]byte(bad), 1)
+		if checkedErr == nil || c.want != "" && checkedErr.Error() != c.want || (plainErr == nil) != (c.want != "") {
+			t.Errorf("%s: Decode returns %v; DecodeChecked\ngot  %v\nwant %s", c.to, plainErr, checkedErr, c.want)
 		}
 	}
 }
 
-// What a listed rate is worth: nothing, a rough figure or a true one.
+// The weights key says whether listed rates are absent, rough or exact.
 func TestWeights(t *testing.T) {
 	for word, want := range map[string][2]bool{"silent": {false, false}, "rough": {true, false}, "nominal": {true, true}} {
-		s, _, err := Decode([]byte(strings.Replace(example(t), "rough", word, 1)), 1)
+		s, _, err := Decode([]byte(strings.Replace(exampleSettings(t), "rough", word, 1)), 1)
 		if err != nil || [2]bool{s.RatesListed, s.RatesExact} != want {
 			t.Errorf("%s: listed %v, exact %v, want %v; %v", word, s.RatesListed, s.RatesExact, want, err)
 		}
 	}
 }
 
-// A route's toll comes by zone.
+// The toll of a route is given for each zone.
 func TestTolls(t *testing.T) {
-	s, _, err := Decode([]byte(strings.Replace(example(t), `"slots": 10`, `"slots": 10, "toll": [0.06, 0]`, 1)), 1)
+	s, _, err := Decode([]byte(strings.Replace(exampleSettings(t), `"slots": 10`, `"slots": 10, "toll": [0.06, 0]`, 1)), 1)
 	if err != nil || len(s.ZoneCosts) != 2 || s.ZoneCosts[0] != 0.06 || s.ZoneCosts[1] != 0 {
 		t.Errorf("tolls %v, %v", s.ZoneCosts, err)
 	}
