--- a/cmd/eiderhaven/config.go
+++ b/cmd/eiderhaven/config.go
@@ -29,8 +29,8 @@
 	disk        int64 // bytes
 	settings    *rules.Settings
 	names       *settings.Names
-	known       exchange.Listing
-	knownSeq    int64
+	known       exchange.Listing // the endpoint list in the configuration
+	knownSeq    int64            // its version
 	logLevel    slog.Level
 	unsupported []string // settings that have no effect here, with the reasons
 }
--- a/cmd/eiderhaven/list_test.go
+++ b/cmd/eiderhaven/list_test.go
@@ -63,7 +63,7 @@
 // before. Whatever has happened to the file, the sender becomes ready with discovery's list in force.
 func TestListSurvivesRestart(t *testing.T) {
 	for name, c := range map[string]struct {
-		whileDown  func(t *testing.T, p *platformFixture) // done while the sender is down, beside the changes of the list
+		whileDown  func(t *testing.T, p *platformFixture) // done while the sender is down
 		wantTarget string
 		wantLog    string // part of a log entry
 	}{
--- a/cmd/eiderhaven/main_test.go
+++ b/cmd/eiderhaven/main_test.go
@@ -567,7 +567,8 @@
 	if err := os.WriteFile(p.config, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	unresponsive, err := platform.ListenRaw("127.0.0.1:0", func(nc net.Conn) { io.Copy(io.Discard, nc) }) // never answers
+	neverAnswers := func(nc net.Conn) { io.Copy(io.Discard, nc) }
+	unresponsive, err := platform.ListenRaw("127.0.0.1:0", neverAnswers)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/registry/list_test.go
+++ b/internal/registry/list_test.go
@@ -332,7 +332,8 @@
 	}
 	begun = time.Now()
 	testkit.Receive(t, s.lists, "change")
-	limit := watchWait + watchGrace + minFirstByteTimeout + 3*initialBackoff + time.Second // a second for a busy machine
+	const allowance = time.Second // for a busy machine
+	limit := watchWait + watchGrace + minFirstByteTimeout + 3*initialBackoff + allowance
 	if took := time.Since(begun); took > limit {
 		t.Errorf("the change after an unanswered watch and a lost request came after %v, want up to %v", took, limit)
 	}
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -35,7 +35,7 @@
 
 	// Limits from the start of a request that is not a long poll, connecting included, until its answer begins. The
 	// first request gets the initial limit. Later ones get twice the time the latest answer took, within the minimum
-	// and the maximum, and half as much again after each request without an answer, for a slow discovery agent.
+	// and the maximum, and half as much again after each request without an answer, for a slow discovery.
 	initialFirstByteTimeout = 2 * time.Second
 	minFirstByteTimeout     = time.Second
 	maxFirstByteTimeout     = 3 * time.Second
@@ -75,10 +75,10 @@
 	log              *slog.Logger
 	address          *Address
 	client           client
-	seq              int64         // version of the latest list or change
-	syncedAt         *location     // where that was received; nil if the next request must fetch the whole list
-	last             lastChange    // in that list
-	resuming         bool          // the latest request failed: the next one fetches what it missed, without a long wait
+	seq              int64         // version of the held list, counted by discovery
+	syncedAt         *location     // where it was received; nil if the next request must fetch the whole list
+	last             lastChange    // in the held list
+	resuming         bool          // the latest request failed: fetch what it missed, without a long wait
 	firstByteTimeout time.Duration // of a request that is not a long poll
 	stallTimeout     time.Duration // of an answer that has begun
 	retryNow         chan struct{}
@@ -182,7 +182,7 @@
 //     (see continuesList): discovery may have been replaced by another process meanwhile.
 //
 // A request that got no answer in time is neither. This guards against a list that stays wrong forever; the price is a
-// whole list where the agent only dropped a connection.
+// whole list where discovery only dropped a connection.
 func (r *Registry) mustRefetch(err error) bool {
 	var unusable *unusableAnswerError
 	if errors.As(err, &unusable) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -65,10 +65,12 @@
 	Zones   []string `json:"zones"`
 }
 
+// effects are the values of effect in request_classes.
 var effects = map[string]rules.Effect{
 	"idempotent": rules.Safe, "deduplicated": rules.Keyed, "at_most_once": rules.AtMostOnce,
 }
 
+// scopes are the values of dedup_scope in request_classes.
 var scopes = map[string]rules.DedupScope{
 	"": rules.DedupDestination, "all": rules.DedupDestination, "zone": rules.DedupZone, "cell": rules.DedupEndpoint,
 }
--- a/internal/snapshot/form.go
+++ b/internal/snapshot/form.go
@@ -181,8 +181,8 @@
 	return int64(u>>1) ^ -int64(u&1)
 }
 
-// string returns a string that shares the memory of the whole record. Little is kept in vain by that, as most endpoints
-// of a list stay as long as any of them.
+// string returns a string that shares the memory of the whole record. This wastes little, as most endpoints of a record
+// stay on the list for equally long.
 func (r *payloadReader) string() string { return r.take(int(min(r.uint(), math.MaxInt32))) }
 
 func (r *payloadReader) strings() (list []string) {
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -249,7 +249,7 @@
 		return err
 	}
 	if st.size > 2*st.listSize+minGrowth && time.Until(st.nextFullWrite) <= 0 {
-		if err := st.compact(); err != nil { // no failure of the change, which is in the file; the file only keeps growing
+		if err := st.compact(); err != nil { // the change itself is written; the file only keeps growing
 			st.Unwritten.Add(1)
 			st.nextFullWrite = time.Now().Add(maxRetryDelay)
 		}
