--- a/internal/index/index_test.go
+++ b/internal/index/index_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// An index says the same as a map, over random additions, replacements and removals.
-func TestAnIndexSaysWhatAMapSays(t *testing.T) {
+// TestIndexMatchesMap compares an index with a map over random additions, replacements and removals.
+func TestIndexMatchesMap(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 0))
 		var keys []string
@@ -29,12 +29,13 @@
 			k = fmt.Sprint(rng.IntN(1 + int(seed)*30))
 			at, known := x.Find(k)
 			if w, ok := want[k]; known != ok || ok && at != w || x.Len() != len(want) {
-				t.Fatalf("seed %d, step %d: %q is at %d (%v) of %d, want %d (%v) of %d", seed, step, k, at, known, x.Len(), w, ok, len(want))
+				t.Fatalf("seed %d, step %d: %q found at %d (known %v) among %d keys, want %d (known %v) among %d",
+					seed, step, k, at, known, x.Len(), w, ok, len(want))
 			}
 		}
 		for k, w := range want {
 			if at, known := x.Find(k); !known || at != w {
-				t.Errorf("seed %d: %q is at %d (%v), want %d", seed, k, at, known, w)
+				t.Errorf("seed %d: %q found at %d (known %v), want %d", seed, k, at, known, w)
 			}
 		}
 	}
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -1,16 +1,16 @@
-// Package message holds the one value that a notification is inside the sender: decoded once where it comes in,
-// encoded once where it goes out. It owns no behaviour and must never grow any.
+// Package message defines the notification as the sender holds it: decoded once where it is accepted, encoded once
+// where it is delivered. It owns no behaviour and must never grow any.
 package message
 
 import "time"
 
-// Message is one notification that a client handed in.
+// Message is one notification submitted by a client.
 type Message struct {
 	ID             string
-	Class          string // by the name that the settings give it
+	Class          string // name of the class in the settings
 	Dest           int
-	Tenant         string    // who hands it in, "" where that is not told
-	IdempotencyKey string    // by which destinations drop repeats, "" for none
-	Deadline       time.Time // when it may no longer be delivered
+	Tenant         string    // party that submitted it, "" if the client named none
+	IdempotencyKey string    // key by which destinations drop repeats, "" for none
+	Deadline       time.Time // the message must not be delivered after this time
 	Body           []byte
 }
