--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,11 +1,12 @@
-// Package ledger keeps what the sender owes in the folder that outlives its process: the messages taken on, the
-// calls made for them, their ends, and the notices not yet accepted. It owns that folder and its bound in bytes.
-// It must never decide what becomes of a message, exceed the bound, or be used by two goroutines at once.
+// Package ledger keeps in the state directory what the sender must not lose when its process ends: the accepted
+// messages, the calls made for them, their ends, and the notices that the platform has not accepted yet. It owns that
+// directory and the limit on its size. It must never decide what becomes of a message, exceed the limit, or be used by
+// two goroutines at once.
 //
-// The folder holds numbered segments of checksummed records (record.go). Only the newest is written to. The
-// oldest is dropped once nothing in it is owed any more, or copied forward first: what is left of it is written
-// again, with what has been learned since, to the newest. Segments go in order of age only, so no record is ever
-// left behind whose message is gone.
+// The directory holds numbered segments of checksummed records (see record.go). Only the newest segment is written to.
+// The oldest is removed once nothing in it is needed any more. Compaction gets there by copying: it writes what is still
+// needed of the oldest segment, updated with what was learned since, to the newest. Segments are only removed oldest
+// first, so no later record refers to a message whose own record is gone.
 package ledger
 
 import (
@@ -21,130 +22,140 @@
 	"eiderhaven/internal/message"
 )
 
-// ErrFull is returned where a record would not leave enough of the folder's bound.
-var ErrFull = errors.New("ledger: folder is full")
+// ErrFull is returned if a record would leave too little of the directory's size limit.
+var ErrFull = errors.New("ledger: state directory is full")
 
-// The list of endpoints lies in the ledger's folder, see package snapshot: the file, and another one while it is written anew.
+// The list of endpoints is kept in the same directory, by package snapshot: in ListFile, and in ListTempFile while a new
+// one is written.
 const (
 	ListFile     = "endpoints.list"
 	ListTempFile = "endpoints.list.new"
 )
 
 const (
-	block     = 512 // files count in whole blocks
-	pieces    = 16  // segments that the bound allows
-	maxRecord = 68 << 10
+	blockSize        = 512      // bytes; the size of a file is counted in whole blocks
+	segmentsPerLimit = 16       // segments that fit in the size limit
+	maxRecordSize    = 68 << 10 // bytes
 )
 
-// Owed is a message that still has no end.
+// PendingMessage is a message that has not ended yet.
 type PendingMessage struct {
 	Message        *message.Message
 	Attempts       int
-	MayHaveRun     bool // an attempt may have run: At and Host tell of the earliest
+	MayHaveRun     bool // an attempt may have run; the next two fields describe the earliest such attempt
 	MayHaveRunAt   time.Time
 	MayHaveRunHost string
-	FailedAttempts int // attempts that failed, other than by being turned away; those before a copy forward are not counted
+	FailedAttempts int // attempts that failed and were not merely refused; those before a compaction are not counted
 }
 
-// Notice is an end that the platform has still to be told.
+// Notice is a message's end of which the platform has to be notified.
 type Notice struct {
 	ID         string
-	Dead       bool
-	RetryAfter time.Duration // for one that is not dead: when to come back
+	Dead       bool          // the message may or may not have run; else it has not
+	RetryAfter time.Duration // if not Dead: how long to wait before submitting the message again
 }
 
-// Outage is an endpoint that the sender took for out, and had not yet seen warm again.
+// Outage is an endpoint that the sender considered down and has not yet seen recovered fully.
 type Outage struct {
 	Host string
-	At   time.Time // when it was first taken for out
-	Rate float64   // calls a second delivered to it before, kept in thousandths
+	At   time.Time // when the sender first considered it down
+	Rate float64   // calls per second delivered to it before the outage, stored in thousandths
 }
 
-// outageID is the entry of an outage: no message can have such an id, as none holds a zero byte.
-func outageID(host string) string { return "\x00outage " + host }
+// outageKey returns the entry ID of an outage. It cannot be a message ID, which never contains a zero byte.
+func outageKey(host string) string { return "\x00outage " + host }
 
-// Stats counts what was found on opening.
+// Stats describes what Open found.
 type Stats struct{ BrokenRecords int }
 
+// attempt is one attempt of a message.
 type attempt struct {
-	num  int
-	at   time.Time
-	host string
+	number    int
+	startedAt time.Time
+	host      string
 }
 
-// entry is what is owed for one message: its end, or the notice of it.
+// entry is an unfinished message, a notice or an outage.
 type entry struct {
-	seq      uint64
-	msg      *message.Message
-	attempts int
-	open     []attempt // no outcome yet
-	mayRun   bool
-	failed   int     // attempts; a hint, which a copy forward drops
-	ran      attempt // the earliest that may have run
-	notice   *Notice
-	outage   *Outage
-	home     *segment // holds the newest whole record of it
-	size     int64    // of that record
-}
-
+	seq             uint64 // orders the entries by age
+	message         *message.Message
+	attemptCount    int
+	openAttempts    []attempt // without an outcome yet
+	mayHaveRun      bool
+	failedAttempts  int     // a hint only: compaction drops it
+	firstMayHaveRun attempt // the earliest attempt that may have run
+	notice          *Notice
+	outage          *Outage
+	segment         *segment // holds the newest full record of this entry
+	recordSize      int64    // bytes of that record
+}
+
+// segment is one file of records.
 type segment struct {
-	num  int
-	path string
-	size int64
-	live int   // entries at home here
-	held int64 // bytes of their records
+	number      int
+	path        string
+	size        int64
+	liveEntries int   // entries whose newest full record is here
+	liveBytes   int64 // bytes of those records
 }
 
-// settleIn makes s the home of an entry whose record has this size.
-func (s *segment) settleIn(e *entry, size int64) {
-	e.home, e.size = s, size
-	s.live++
-	s.held += size
+// addEntry notes that s holds the newest full record of an entry.
+func (s *segment) addEntry(e *entry, recordSize int64) {
+	e.segment, e.recordSize = s, recordSize
+	s.liveEntries++
+	s.liveBytes += recordSize
 }
 
-func (s *segment) cost() int64 { return cost(s.size) }
+func (s *segment) diskUsage() int64 { return diskUsage(s.size) }
 
-// cost is what a file of this size counts for.
-func cost(size int64) int64 { return max(1, (size+block-1)/block) * block }
+// diskUsage returns how many bytes a file of this size counts towards the limit: whole blocks, at least one.
+func diskUsage(size int64) int64 { return max(1, (size+blockSize-1)/blockSize) * blockSize }
 
-// Ledger is an open folder.
+// Ledger is an open state directory.
 type Ledger struct {
-	dir      string
-	limit    int64
-	segMax   int64
-	log      *slog.Logger
-	entries  map[string]*entry
-	segments []*segment // oldest first; the last is written to
-	file     *os.File
-	foreign  int64 // files here that are not the ledger's
-	aside    int64 // bytes that are set aside for the list of endpoints
-	seq      uint64
-	passing  bool // a compaction is under way
-	stuck    bool // the last new segment could not be started
-	buf      []byte
-	stats    Stats
-	wrote    func() // for tests: called after each write
-}
-
-// Open reads the folder and starts a new segment. Broken records are logged, counted and skipped.
-func Open(dir string, limit int64, log *slog.Logger) (*Ledger, error) {
-	l := &Ledger{dir: dir, limit: limit, segMax: limit / pieces, log: log, entries: map[string]*entry{}}
+	dir            string
+	maxBytes       int64
+	segmentSize    int64 // a segment is closed before it exceeds this size
+	log            *slog.Logger
+	entries        map[string]*entry // by ID of the message, or outageKey
+	segments       []*segment        // oldest first; the last one is written to
+	file           *os.File
+	foreignBytes   int64 // files in the directory that do not belong to the ledger
+	listBytes      int64 // reserved for the list of endpoints
+	lastSeq        uint64
+	compacting     bool // a compaction is under way
+	rotationFailed bool // the last attempt to start a segment failed
+	buf            []byte
+	stats          Stats
+	afterWrite     func() // for tests: called after each write
+}
+
+// Open reads the directory, whose files may use up to maxBytes, and starts a new segment. Broken records are logged,
+// counted and skipped.
+func Open(dir string, maxBytes int64, log *slog.Logger) (*Ledger, error) {
+	l := &Ledger{
+		dir:         dir,
+		maxBytes:    maxBytes,
+		segmentSize: maxBytes / segmentsPerLimit,
+		log:         log,
+		entries:     map[string]*entry{},
+	}
 	files, err := os.ReadDir(dir)
 	if err != nil {
 		return nil, fmt.Errorf("ledger: %w", err)
 	}
 	for _, f := range files {
-		if err := l.adopt(f); err != nil {
+		if err := l.addFile(f); err != nil {
 			return nil, fmt.Errorf("ledger: %w", err)
 		}
 	}
-	slices.SortFunc(l.segments, func(a, b *segment) int { return cmp.Compare(a.num, b.num) })
+	slices.SortFunc(l.segments, func(a, b *segment) int { return cmp.Compare(a.number, b.number) })
 	for _, s := range l.segments {
-		if err := l.load(s); err != nil {
+		if err := l.replay(s); err != nil {
 			return nil, fmt.Errorf("ledger: %w", err)
 		}
 	}
-	l.dropDead()
+	l.removeDeadSegments()
 	if err := l.rotate(); err != nil {
 		return nil, err
 	}
@@ -152,145 +163,162 @@
 	return l, nil
 }
 
-func (l *Ledger) adopt(f os.DirEntry) error {
+// addFile adds a file found in the directory to the segments, or counts its size.
+func (l *Ledger) addFile(f os.DirEntry) error {
 	info, err := f.Info()
 	if err != nil {
 		return err
 	}
 	if f.Name() == ListFile || f.Name() == ListTempFile {
-		l.aside += cost(info.Size())
+		l.listBytes += diskUsage(info.Size())
 		return nil
 	}
-	var num int
-	if n, err := fmt.Sscanf(f.Name(), "%08d.seg", &num); err != nil || n != 1 || !info.Mode().IsRegular() {
-		l.foreign += cost(info.Size())
+	var number int
+	if n, err := fmt.Sscanf(f.Name(), "%08d.seg", &number); err != nil || n != 1 || !info.Mode().IsRegular() {
+		l.foreignBytes += diskUsage(info.Size())
 		return nil
 	}
-	l.segments = append(l.segments, &segment{num: num, path: filepath.Join(l.dir, f.Name()), size: info.Size()})
+	l.segments = append(l.segments, &segment{number: number, path: filepath.Join(l.dir, f.Name()), size: info.Size()})
 	return nil
 }
 
-// load replays one segment.
-func (l *Ledger) load(s *segment) error {
-	text, err := os.ReadFile(s.path)
+// replay applies the records of one segment.
+func (l *Ledger) replay(s *segment) error {
+	data, err := os.ReadFile(s.path)
 	if err != nil {
 		return err
 	}
-	broken := scan(text, func(payload []byte) bool {
+	broken := scanRecords(data, func(payload []byte) bool {
 		r, ok := decodeRecord(payload)
 		if ok {
-			l.apply(r, s, int64(headLen+len(payload)))
+			l.apply(r, s, int64(headerSize+len(payload)))
 		}
 		return ok
 	})
 	if broken > 0 {
 		l.stats.BrokenRecords += broken
-		l.log.Warn("broken records in the ledger skipped", "segment", s.num, "count", broken)
+		l.log.Warn("broken records in the ledger skipped", "segment", s.number, "count", broken)
 	}
 	return nil
 }
 
-// apply brings the state up to date with a record that stands in s with this size.
+// apply updates the state with a record of segment s, which takes up size bytes there.
 func (l *Ledger) apply(r record, s *segment, size int64) {
 	e := l.entries[r.id]
 	switch r.kind {
-	case kindKeep:
-		l.settle(r.id, e)
-		e = &entry{seq: r.seq, msg: r.msg, attempts: r.attempts, open: r.open, mayRun: r.mayRun, ran: r.ran}
-		l.seq = max(l.seq, r.seq)
+	case kindAccepted:
+		l.removeEntry(r.id, e)
+		e = &entry{
+			seq:             r.seq,
+			message:         r.message,
+			attemptCount:    r.attemptCount,
+			openAttempts:    r.openAttempts,
+			mayHaveRun:      r.mayHaveRun,
+			firstMayHaveRun: r.attempt,
+		}
+		l.lastSeq = max(l.lastSeq, r.seq)
 		l.entries[r.id] = e
-		s.settleIn(e, size)
+		s.addEntry(e, size)
 	case kindNotice:
-		l.settle(r.id, e)
-		e = &entry{seq: r.seq, notice: &Notice{ID: r.id, Dead: r.dead, RetryAfter: r.wait}}
-		l.seq = max(l.seq, r.seq)
+		l.removeEntry(r.id, e)
+		e = &entry{seq: r.seq, notice: &Notice{ID: r.id, Dead: r.dead, RetryAfter: r.retryAfter}}
+		l.lastSeq = max(l.lastSeq, r.seq)
 		l.entries[r.id] = e
-		s.settleIn(e, size)
+		s.addEntry(e, size)
 	case kindOutage:
-		id := outageID(r.ran.host)
-		l.settle(id, l.entries[id])
-		e = &entry{seq: r.seq, outage: &Outage{Host: r.ran.host, At: r.ran.at, Rate: r.rate}}
-		l.seq = max(l.seq, r.seq)
+		id := outageKey(r.attempt.host)
+		l.removeEntry(id, l.entries[id])
+		e = &entry{seq: r.seq, outage: &Outage{Host: r.attempt.host, At: r.attempt.startedAt, Rate: r.rate}}
+		l.lastSeq = max(l.lastSeq, r.seq)
 		l.entries[id] = e
-		s.settleIn(e, size)
+		s.addEntry(e, size)
 	case kindCall:
 		for i, id := range r.ids {
-			if e := l.entries[id]; e != nil && e.msg != nil {
-				e.open = append(e.open, attempt{num: r.nums[i], at: r.ran.at, host: r.ran.host})
-				e.attempts = max(e.attempts, r.nums[i]+1)
+			if e := l.entries[id]; e != nil && e.message != nil {
+				number := r.attemptNumbers[i]
+				a := attempt{number: number, startedAt: r.attempt.startedAt, host: r.attempt.host}
+				e.openAttempts = append(e.openAttempts, a)
+				e.attemptCount = max(e.attemptCount, number+1)
 			}
 		}
 	case kindOutcome:
 		if e != nil {
-			e.outcome(r.attempts, r.mayRun)
+			e.closeAttempt(r.attemptCount, r.mayHaveRun)
 			if r.failed {
-				e.failed++
+				e.failedAttempts++
 			}
 		}
 	case kindEnd:
 		for _, id := range r.ids {
-			l.settle(id, l.entries[id])
+			l.removeEntry(id, l.entries[id])
 		}
 	}
 }
 
-// settle drops an entry.
-func (l *Ledger) settle(id string, e *entry) {
+// removeEntry removes an entry, if it is not nil.
+func (l *Ledger) removeEntry(id string, e *entry) {
 	if e != nil {
-		e.home.live--
-		e.home.held -= e.size
+		e.segment.liveEntries--
+		e.segment.liveBytes -= e.recordSize
 		delete(l.entries, id)
 	}
 }
 
-// outcome books how an attempt ended.
-func (e *entry) outcome(num int, mayRun bool) {
-	i := slices.IndexFunc(e.open, func(a attempt) bool { return a.num == num })
+// closeAttempt applies the outcome of an attempt.
+func (e *entry) closeAttempt(number int, mayHaveRun bool) {
+	i := slices.IndexFunc(e.openAttempts, func(a attempt) bool { return a.number == number })
 	if i < 0 {
 		return
 	}
-	a := e.open[i]
-	e.open = slices.Delete(e.open, i, i+1)
-	if mayRun && (!e.mayRun || a.at.Before(e.ran.at)) {
-		e.mayRun, e.ran = true, a
+	a := e.openAttempts[i]
+	e.openAttempts = slices.Delete(e.openAttempts, i, i+1)
+	if mayHaveRun && (!e.mayHaveRun || a.startedAt.Before(e.firstMayHaveRun.startedAt)) {
+		e.mayHaveRun, e.firstMayHaveRun = true, a
 	}
 }
 
-// Stats tells what was found on opening.
+// Stats returns what Open found.
 func (l *Ledger) Stats() Stats { return l.stats }
 
-// Owed returns the messages without an end, in the order in which they were taken on. An attempt without an
-// outcome counts as one that may have run.
-func (l *Ledger) Pending() []PendingMessage {
+// selectEntries returns the entries for which keep returns true, oldest first.
+func (l *Ledger) selectEntries(keep func(*entry) bool) []*entry {
 	var list []*entry
 	for _, e := range l.entries {
-		if e.msg != nil {
+		if keep(e) {
 			list = append(list, e)
 		}
 	}
 	slices.SortFunc(list, func(a, b *entry) int { return cmp.Compare(a.seq, b.seq) })
+	return list
+}
+
+// Pending returns the messages that have not ended, in the order in which they were accepted. An attempt without an
+// outcome counts as one that may have run.
+func (l *Ledger) Pending() []PendingMessage {
+	list := l.selectEntries(func(e *entry) bool { return e.message != nil })
 	out := make([]PendingMessage, len(list))
 	for i, e := range list {
-		mayRun, ran := e.mayRun, e.ran
-		for _, a := range e.open {
-			if !mayRun || a.at.Before(ran.at) {
-				mayRun, ran = true, a
+		mayHaveRun, first := e.mayHaveRun, e.firstMayHaveRun
+		for _, a := range e.openAttempts {
+			if !mayHaveRun || a.startedAt.Before(first.startedAt) {
+				mayHaveRun, first = true, a
 			}
 		}
-		out[i] = PendingMessage{Message: e.msg, Attempts: e.attempts, MayHaveRun: mayRun, MayHaveRunAt: ran.at, MayHaveRunHost: ran.host, FailedAttempts: e.failed}
+		out[i] = PendingMessage{
+			Message:        e.message,
+			Attempts:       e.attemptCount,
+			MayHaveRun:     mayHaveRun,
+			MayHaveRunAt:   first.startedAt,
+			MayHaveRunHost: first.host,
+			FailedAttempts: e.failedAttempts,
+		}
 	}
 	return out
 }
 
-// Notices returns the ends that the platform has not accepted yet, oldest first.
+// Notices returns the notices that the platform has not accepted yet, oldest first.
 func (l *Ledger) Notices() []Notice {
-	var list []*entry
-	for _, e := range l.entries {
-		if e.notice != nil {
-			list = append(list, e)
-		}
-	}
-	slices.SortFunc(list, func(a, b *entry) int { return cmp.Compare(a.seq, b.seq) })
+	list := l.selectEntries(func(e *entry) bool { return e.notice != nil })
 	out := make([]Notice, len(list))
 	for i, e := range list {
 		out[i] = *e.notice
@@ -298,71 +326,79 @@
 	return out
 }
 
-// Take records a message taken on. ErrFull leaves nothing behind.
+// RecordAccepted records that a message was accepted. If it returns ErrFull, nothing was written.
 func (l *Ledger) RecordAccepted(m *message.Message) error {
-	need := int64(len(m.Body)+len(m.Tenant)+len(m.IdempotencyKey)) + 2*block + l.reserve()
-	if l.used()+need > l.limit {
+	need := int64(len(m.Body)+len(m.Tenant)+len(m.IdempotencyKey)) + 2*blockSize + l.reservedBytes()
+	if l.usedBytes()+need > l.maxBytes {
 		l.compact()
 	}
-	if l.used()+need > l.limit {
+	if l.usedBytes()+need > l.maxBytes {
 		return ErrFull
 	}
-	l.seq++
-	return l.write(record{kind: kindKeep, id: m.ID, seq: l.seq, msg: m})
+	l.lastSeq++
+	return l.appendAndApply(record{kind: kindAccepted, id: m.ID, seq: l.lastSeq, message: m})
 }
 
-// reserve is what is kept free of new messages, see compact: two segments wasted, one to copy to, one to spare.
-func (l *Ledger) reserve() int64 { return 4 * max(l.segMax, maxRecord) }
+// reservedBytes returns how much space new messages must leave free, see compact: two segments for waste, one to copy
+// to and one to spare.
+func (l *Ledger) reservedBytes() int64 {
+	const segments = 4
+	return segments * max(l.segmentSize, maxRecordSize)
+}
 
-// Call records that a call with these messages, each with the number of its attempt, is about to go out. Only
-// then may its bytes be written.
-func (l *Ledger) RecordCall(ids []string, nums []int, host string, at time.Time) error {
-	return l.write(record{kind: kindCall, ids: ids, nums: nums, ran: attempt{at: at, host: host}})
+// RecordCall records that a call with these messages, each with the number of its attempt, is about to be made. No byte
+// of the call may be written before that.
+func (l *Ledger) RecordCall(ids []string, numbers []int, host string, at time.Time) error {
+	call := attempt{startedAt: at, host: host}
+	return l.appendAndApply(record{kind: kindCall, ids: ids, attemptNumbers: numbers, attempt: call})
 }
 
-// Outcome records how an attempt ended: whether it may have run, and whether it failed other than by being turned away.
-func (l *Ledger) RecordOutcome(id string, num int, mayRun, failed bool) error {
+// RecordOutcome records how an attempt ended: whether it may have run, and whether it failed and was not merely refused.
+func (l *Ledger) RecordOutcome(id string, number int, mayHaveRun, failed bool) error {
 	if l.entries[id] == nil {
 		return nil
 	}
-	return l.write(record{kind: kindOutcome, id: id, attempts: num, mayRun: mayRun, failed: failed})
+	return l.appendAndApply(record{
+		kind:         kindOutcome,
+		id:           id,
+		attemptCount: number,
+		mayHaveRun:   mayHaveRun,
+		failed:       failed,
+	})
 }
 
-// End records that nothing more is owed for a message: it is over, or the notice of its end was accepted.
-func (l *Ledger) RecordEnd(ids ...string) error { return l.write(record{kind: kindEnd, ids: ids}) }
+// RecordEnd records that messages need nothing more: they have ended, and no notice of them is left to be accepted.
+func (l *Ledger) RecordEnd(ids ...string) error {
+	return l.appendAndApply(record{kind: kindEnd, ids: ids})
+}
 
-// Tell records the end of a message of which the platform has to be told.
+// RecordNotice records the end of a message of which the platform has to be notified.
 func (l *Ledger) RecordNotice(n Notice) error {
-	l.seq++
-	return l.write(record{kind: kindNotice, id: n.ID, seq: l.seq, dead: n.Dead, wait: n.RetryAfter})
+	l.lastSeq++
+	return l.appendAndApply(noticeRecord(n, l.lastSeq))
 }
 
-// Outage records that the sender takes an endpoint for out. It is a hint, and gives way where room is short.
+// RecordOutage records that the sender considers an endpoint down. It is only a hint: where space is short it is left
+// out, with ErrFull.
 func (l *Ledger) RecordOutage(o Outage) error {
-	if l.used()+int64(len(o.Host))+2*block+l.reserve() > l.limit {
+	if l.usedBytes()+int64(len(o.Host))+2*blockSize+l.reservedBytes() > l.maxBytes {
 		return ErrFull
 	}
-	l.seq++
-	return l.write(record{kind: kindOutage, seq: l.seq, ran: attempt{at: o.At, host: o.Host}, rate: o.Rate})
+	l.lastSeq++
+	return l.appendAndApply(outageRecord(o, l.lastSeq))
 }
 
-// OutageOver records that an endpoint is well again.
+// RecordOutageEnd records that an endpoint is healthy again.
 func (l *Ledger) RecordOutageEnd(host string) error {
-	if l.entries[outageID(host)] == nil {
+	if l.entries[outageKey(host)] == nil {
 		return nil
 	}
-	return l.RecordEnd(outageID(host))
+	return l.RecordEnd(outageKey(host))
 }
 
-// Outages returns the outages that are not over, oldest first.
+// Outages returns the outages that have not ended, oldest first.
 func (l *Ledger) Outages() []Outage {
-	var list []*entry
-	for _, e := range l.entries {
-		if e.outage != nil {
-			list = append(list, e)
-		}
-	}
-	slices.SortFunc(list, func(a, b *entry) int { return cmp.Compare(a.seq, b.seq) })
+	list := l.selectEntries(func(e *entry) bool { return e.outage != nil })
 	out := make([]Outage, len(list))
 	for i, e := range list {
 		out[i] = *e.outage
@@ -370,68 +406,75 @@
 	return out
 }
 
-// Close closes the folder. What is owed stays in it.
+// Close closes the ledger. The files stay in the directory.
 func (l *Ledger) Close() error { return l.file.Close() }
 
-// SetAside makes this the room for the list of endpoints, all its files together. It is false, and changes nothing, if that is
-// more than it has and over a quarter of the bound, or would not leave free what Take keeps for the calls and ends of what is held: a list
-// can be had again.
+// The list of endpoints may use up to maxBytes / listSpaceDivisor.
+const listSpaceDivisor = 4
+
+// ReserveListSpace changes the space reserved for all files of the list of endpoints together. It returns false and
+// changes nothing if that is more space than before and either exceeds a quarter of the size limit or would not leave
+// free what RecordAccepted keeps for the calls and ends of held messages. The list can be fetched again; those records
+// cannot.
 func (l *Ledger) ReserveListSpace(bytes int64) bool {
-	bytes = cost(bytes) + block // two files at most, in whole blocks each
-	if more := bytes - l.aside; more > 0 && (bytes > l.limit/4 || l.used()+more+l.reserve() > l.limit) {
+	bytes = diskUsage(bytes) + blockSize // up to two files, each rounded up to whole blocks
+	more := bytes - l.listBytes
+	if more > 0 && (bytes > l.maxBytes/listSpaceDivisor || l.usedBytes()+more+l.reservedBytes() > l.maxBytes) {
 		return false
 	}
-	l.aside = bytes
+	l.listBytes = bytes
 	return true
 }
 
-// used is what the folder counts for.
-func (l *Ledger) used() int64 {
-	sum := l.foreign + l.aside
+// usedBytes returns how much of the size limit is used.
+func (l *Ledger) usedBytes() int64 {
+	sum := l.foreignBytes + l.listBytes
 	for _, s := range l.segments {
-		sum += s.cost()
+		sum += s.diskUsage()
 	}
 	return sum
 }
 
-// write appends a record to the newest segment and brings the state up to date.
-func (l *Ledger) write(r record) error {
+// appendAndApply appends a record to the newest segment and updates the state with it.
+func (l *Ledger) appendAndApply(r record) error {
 	l.buf = appendRecord(l.buf[:0], r)
 	cur := l.segments[len(l.segments)-1]
-	if cur.size > 0 && cur.size+int64(len(l.buf)) > l.segMax && l.turn() {
-		l.buf = appendRecord(l.buf[:0], r) // compaction used the buffer
+	if cur.size > 0 && cur.size+int64(len(l.buf)) > l.segmentSize && l.rotateAndCompact() {
+		l.buf = appendRecord(l.buf[:0], r) // again, as compaction uses the same buffer
 		cur = l.segments[len(l.segments)-1]
 	}
-	if l.used()+int64(len(l.buf))+block > l.limit {
+	if l.usedBytes()+int64(len(l.buf))+blockSize > l.maxBytes {
 		return ErrFull
 	}
 	if _, err := l.file.Write(l.buf); err != nil {
-		if cut := l.file.Truncate(cur.size); cut != nil { // the rest of a record would be skipped as broken
-			err = errors.Join(err, cut)
+		// Remove what was written of the record. If that fails too, it will be skipped as broken.
+		if truncErr := l.file.Truncate(cur.size); truncErr != nil {
+			err = errors.Join(err, truncErr)
 		}
 		return fmt.Errorf("ledger: %w", err)
 	}
 	cur.size += int64(len(l.buf))
 	l.apply(r, cur, int64(len(l.buf)))
-	if l.wrote != nil {
-		l.wrote()
+	if l.afterWrite != nil {
+		l.afterWrite()
 	}
 	return nil
 }
 
-// turn starts a new segment and drops what it can of the old ones. Where that fails, as without a free descriptor,
-// the present one grows past its size meanwhile: what is held must still be recorded.
-func (l *Ledger) turn() bool {
+// rotateAndCompact starts a new segment and then removes and compacts old ones. If no new segment can be started, for
+// example for want of a file descriptor, it returns false and the current one grows beyond segmentSize for now: records
+// of held messages must not be lost.
+func (l *Ledger) rotateAndCompact() bool {
 	if err := l.rotate(); err != nil {
-		if !l.stuck {
-			l.log.Warn("no new ledger segment; the present one grows", "err", err)
+		if !l.rotationFailed {
+			l.log.Warn("starting a new ledger segment failed; the current one grows beyond its size", "err", err)
 		}
-		l.stuck = true
+		l.rotationFailed = true
 		return false
 	}
-	l.stuck = false
-	if !l.passing {
-		l.dropDead()
+	l.rotationFailed = false
+	if !l.compacting {
+		l.removeDeadSegments()
 		l.compact()
 	}
 	return true
@@ -439,11 +482,11 @@
 
 // rotate starts a new segment.
 func (l *Ledger) rotate() error {
-	num := 1
+	number := 1
 	if n := len(l.segments); n > 0 {
-		num = l.segments[n-1].num + 1
+		number = l.segments[n-1].number + 1
 	}
-	path := filepath.Join(l.dir, fmt.Sprintf("%08d.seg", num))
+	path := filepath.Join(l.dir, fmt.Sprintf("%08d.seg", number))
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return fmt.Errorf("ledger: %w", err)
@@ -452,80 +495,91 @@
 		l.file.Close()
 	}
 	l.file = f
-	l.segments = append(l.segments, &segment{num: num, path: path})
+	l.segments = append(l.segments, &segment{number: number, path: path})
 	return nil
 }
 
-// dropDead removes the oldest segments as long as nothing in them is owed.
-func (l *Ledger) dropDead() {
-	for len(l.segments) > 1 && l.segments[0].live == 0 {
-		if !l.remove() {
+// removeDeadSegments removes the oldest segments as long as they hold no entry's newest record.
+func (l *Ledger) removeDeadSegments() {
+	for len(l.segments) > 1 && l.segments[0].liveEntries == 0 {
+		if !l.removeOldest() {
 			return
 		}
 	}
 }
 
-func (l *Ledger) remove() bool {
+// removeOldest removes the oldest segment and reports whether that succeeded.
+func (l *Ledger) removeOldest() bool {
 	if err := os.Remove(l.segments[0].path); err != nil {
-		l.log.Warn("a ledger segment could not be removed", "segment", l.segments[0].num, "err", err)
+		l.log.Warn("removing a ledger segment failed", "segment", l.segments[0].number, "err", err)
 		return false
 	}
 	l.segments = slices.Delete(l.segments, 0, 1)
 	return true
 }
 
-// wasted is how many bytes hold nothing that is owed.
-func (l *Ledger) wasted() int64 {
-	sum := l.used() - l.foreign - l.aside
+// wastedBytes returns how many bytes of the segments are not used by the newest record of an entry.
+func (l *Ledger) wastedBytes() int64 {
+	sum := l.usedBytes() - l.foreignBytes - l.listBytes
 	for _, s := range l.segments {
-		sum -= s.held
+		sum -= s.liveBytes
 	}
 	return sum
 }
 
-// compact copies what is owed out of the oldest segments, each of the present ones once at most, while the folder is
-// more than half full and a pass gains two segments or more: below that it would copy much to win little, again and
-// again. The folder stays within its bound, as Take leaves room for what may be wasted by then and for a copy.
+// compact copies the entries out of the oldest segments and removes those, each of the present segments at most once.
+// It does so only while the directory is more than half full and a pass frees at least two segments: otherwise it would
+// copy much to gain little, again and again. The directory stays within its limit, as RecordAccepted leaves space for
+// what may be wasted until then and for a copy.
 func (l *Ledger) compact() {
-	if l.wasted() < 2*l.segMax {
+	if l.wastedBytes() < 2*l.segmentSize {
 		return
 	}
-	l.passing = true
-	defer func() { l.passing = false }()
-	for n := len(l.segments) - 1; n > 0 && l.used() > l.limit/2 && l.wasted() > l.segMax; n-- {
+	l.compacting = true
+	defer func() { l.compacting = false }()
+	for n := len(l.segments) - 1; n > 0 && l.usedBytes() > l.maxBytes/2 && l.wastedBytes() > l.segmentSize; n-- {
 		oldest := l.segments[0]
-		for _, e := range l.homeAt(oldest) {
-			if err := l.write(e.record()); err != nil {
-				l.log.Warn("the ledger could not be compacted", "segment", oldest.num, "err", err)
+		for _, e := range l.entriesIn(oldest) {
+			if err := l.appendAndApply(e.toRecord()); err != nil {
+				l.log.Warn("compacting the ledger failed", "segment", oldest.number, "err", err)
 				return
 			}
 		}
-		if !l.remove() {
+		if !l.removeOldest() {
 			return
 		}
 	}
 }
 
-// homeAt returns the entries whose newest whole record stands in s, in order.
-func (l *Ledger) homeAt(s *segment) []*entry {
-	var list []*entry
-	for _, e := range l.entries {
-		if e.home == s {
-			list = append(list, e)
-		}
-	}
-	slices.SortFunc(list, func(a, b *entry) int { return cmp.Compare(a.seq, b.seq) })
-	return list
+// entriesIn returns the entries whose newest full record is in s, oldest first.
+func (l *Ledger) entriesIn(s *segment) []*entry {
+	return l.selectEntries(func(e *entry) bool { return e.segment == s })
 }
 
-// record is an entry as one whole record.
-func (e *entry) record() record {
+// toRecord returns an entry as one full record.
+func (e *entry) toRecord() record {
 	if e.outage != nil {
-		return record{kind: kindOutage, seq: e.seq, ran: attempt{at: e.outage.At, host: e.outage.Host}, rate: e.outage.Rate}
+		return outageRecord(*e.outage, e.seq)
 	}
 	if e.notice != nil {
-		return record{kind: kindNotice, id: e.notice.ID, seq: e.seq, dead: e.notice.Dead, wait: e.notice.RetryAfter}
+		return noticeRecord(*e.notice, e.seq)
 	}
-	return record{kind: kindKeep, id: e.msg.ID, seq: e.seq, msg: e.msg, attempts: e.attempts, open: e.open,
-		mayRun: e.mayRun, ran: e.ran}
+	return record{
+		kind:         kindAccepted,
+		id:           e.message.ID,
+		seq:          e.seq,
+		message:      e.message,
+		attemptCount: e.attemptCount,
+		openAttempts: e.openAttempts,
+		mayHaveRun:   e.mayHaveRun,
+		attempt:      e.firstMayHaveRun,
+	}
+}
+
+func noticeRecord(n Notice, seq uint64) record {
+	return record{kind: kindNotice, id: n.ID, seq: seq, dead: n.Dead, retryAfter: n.RetryAfter}
+}
+
+func outageRecord(o Outage, seq uint64) record {
+	return record{kind: kindOutage, seq: seq, attempt: attempt{startedAt: o.At, host: o.Host}, rate: o.Rate}
 }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -32,7 +32,7 @@
 	return l
 }
 
-func msg(id string, size int) *message.Message {
+func newMessage(id string, size int) *message.Message {
 	return &message.Message{ID: id, Class: "stock", Dest: 7, Tenant: "till", IdempotencyKey: "k-" + id, Deadline: noon.Add(16 * time.Second),
 		Body: bytes.Repeat([]byte("b"), size)}
 }
@@ -53,7 +53,7 @@
 	for _, f := range files {
 		info, err := f.Info()
 		must(t, err)
-		sum += (info.Size() + block - 1) / block * block
+		sum += (info.Size() + blockSize - 1) / blockSize * blockSize
 	}
 	return sum
 }
@@ -63,7 +63,7 @@
 	dir := t.TempDir()
 	l := open(t, dir, testLimit)
 	for _, id := range []string{"new", "out", "refused", "ran", "gone", "bounced", "dead", "told"} {
-		must(t, l.RecordAccepted(msg(id, 3)))
+		must(t, l.RecordAccepted(newMessage(id, 3)))
 	}
 	must(t, l.RecordCall([]string{"out", "refused"}, []int{0, 0}, "s-1", noon))
 	must(t, l.RecordOutcome("refused", 0, false, false))
@@ -79,10 +79,10 @@
 
 	l = open(t, dir, testLimit)
 	want := []PendingMessage{
-		{Message: msg("new", 3)},
-		{Message: msg("out", 3), Attempts: 1, MayHaveRun: true, MayHaveRunAt: noon, MayHaveRunHost: "s-1"},
-		{Message: msg("refused", 3), Attempts: 1},
-		{Message: msg("ran", 3), Attempts: 2, MayHaveRun: true, MayHaveRunAt: noon.Add(time.Second), MayHaveRunHost: "s-2"},
+		{Message: newMessage("new", 3)},
+		{Message: newMessage("out", 3), Attempts: 1, MayHaveRun: true, MayHaveRunAt: noon, MayHaveRunHost: "s-1"},
+		{Message: newMessage("refused", 3), Attempts: 1},
+		{Message: newMessage("ran", 3), Attempts: 2, MayHaveRun: true, MayHaveRunAt: noon.Add(time.Second), MayHaveRunHost: "s-2"},
 	}
 	got := l.Pending()
 	if len(got) != len(want) {
@@ -110,8 +110,8 @@
 func TestTornTail(t *testing.T) {
 	dir := t.TempDir()
 	l := open(t, dir, testLimit)
-	must(t, l.RecordAccepted(msg("a", 40)))
-	must(t, l.RecordAccepted(msg("b", 40)))
+	must(t, l.RecordAccepted(newMessage("a", 40)))
+	must(t, l.RecordAccepted(newMessage("b", 40)))
 	path := l.segments[len(l.segments)-1].path
 	whole, err := os.ReadFile(path)
 	must(t, err)
@@ -131,7 +131,7 @@
 		if l.Stats().BrokenRecords != broken {
 			t.Errorf("cut at %d: %d broken, want %d", n, l.Stats().BrokenRecords, broken)
 		}
-		must(t, l.RecordAccepted(msg("c", 1)))
+		must(t, l.RecordAccepted(newMessage("c", 1)))
 		must(t, l.Close())
 		if got := len(open(t, torn, testLimit).Pending()); got != want+1 {
 			t.Errorf("cut at %d, then written to: %d owed, want %d", n, got, want+1)
@@ -144,7 +144,7 @@
 	dir := t.TempDir()
 	l := open(t, dir, testLimit)
 	for _, id := range []string{"a", "b", "c"} {
-		must(t, l.RecordAccepted(msg(id, 40)))
+		must(t, l.RecordAccepted(newMessage(id, 40)))
 	}
 	path := l.segments[len(l.segments)-1].path
 	whole, err := os.ReadFile(path)
@@ -173,18 +173,18 @@
 	live := map[string]int{} // attempts
 	var order []string
 	full, copied := 0, 0
-	l.wrote = func() {
-		if l.passing {
+	l.afterWrite = func() {
+		if l.compacting {
 			copied++
 		}
-		if used, real := l.used(), onDisk(t, dir); real > limit || used < real {
+		if used, real := l.usedBytes(), onDisk(t, dir); real > limit || used < real {
 			t.Fatalf("the folder holds %d of %d bytes, counted as %d", real, limit, used)
 		}
 	}
 	for i := range 6000 {
 		switch id := fmt.Sprintf("m%d", i); {
 		case rng.IntN(3) > 0:
-			err := l.RecordAccepted(msg(id, rng.IntN(9000)))
+			err := l.RecordAccepted(newMessage(id, rng.IntN(9000)))
 			if errors.Is(err, ErrFull) {
 				full++
 				break
@@ -230,7 +230,7 @@
 	n := 0
 	var err error
 	for ; err == nil; n++ {
-		err = l.RecordAccepted(msg(fmt.Sprint("m", n), 60<<10))
+		err = l.RecordAccepted(newMessage(fmt.Sprint("m", n), 60<<10))
 	}
 	if !errors.Is(err, ErrFull) || n < 3 {
 		t.Fatalf("after %d messages: %v, want ErrFull", n, err)
@@ -243,7 +243,7 @@
 		must(t, l.RecordNotice(Notice{ID: fmt.Sprint("m", i), Dead: true}))
 		must(t, l.RecordEnd(fmt.Sprint("m", i)))
 	}
-	must(t, l.RecordAccepted(msg("after", 60<<10)))
+	must(t, l.RecordAccepted(newMessage("after", 60<<10)))
 }
 
 // Calls and outcomes of what is held always find room, however many come after the folder refuses new messages.
@@ -252,7 +252,7 @@
 	dir := t.TempDir()
 	l := open(t, dir, limit)
 	n := 0
-	for l.RecordAccepted(msg(fmt.Sprint("m", n), 2000)) == nil {
+	for l.RecordAccepted(newMessage(fmt.Sprint("m", n), 2000)) == nil {
 		n++
 	}
 	for i := range 30000 {
@@ -273,20 +273,20 @@
 	const limit = 1 << 20
 	dir := t.TempDir()
 	l := open(t, dir, limit)
-	blocked := filepath.Join(dir, fmt.Sprintf("%08d.seg", l.segments[len(l.segments)-1].num+1))
+	blocked := filepath.Join(dir, fmt.Sprintf("%08d.seg", l.segments[len(l.segments)-1].number+1))
 	must(t, os.Mkdir(blocked, 0o700))
-	must(t, l.RecordAccepted(msg("a", 10)))
+	must(t, l.RecordAccepted(newMessage("a", 10)))
 	for i := range 5000 {
 		must(t, l.RecordCall([]string{"a"}, []int{i}, "s-1", noon))
 		must(t, l.RecordOutcome("a", i, false, false))
 	}
-	if cur := l.segments[len(l.segments)-1]; !l.stuck || cur.size <= l.segMax {
-		t.Errorf("stuck %v with %d bytes: the test shows nothing", l.stuck, cur.size)
+	if cur := l.segments[len(l.segments)-1]; !l.rotationFailed || cur.size <= l.segmentSize {
+		t.Errorf("stuck %v with %d bytes: the test shows nothing", l.rotationFailed, cur.size)
 	}
 	must(t, os.Remove(blocked))
-	must(t, l.RecordAccepted(msg("b", 10)))
-	if cur := l.segments[len(l.segments)-1]; l.stuck || cur.size > l.segMax {
-		t.Errorf("afterwards: stuck %v, %d bytes in the newest segment", l.stuck, cur.size)
+	must(t, l.RecordAccepted(newMessage("b", 10)))
+	if cur := l.segments[len(l.segments)-1]; l.rotationFailed || cur.size > l.segmentSize {
+		t.Errorf("afterwards: stuck %v, %d bytes in the newest segment", l.rotationFailed, cur.size)
 	}
 	if got := len(open(t, dir, limit).Pending()); got != 2 {
 		t.Errorf("%d owed, want 2", got)
@@ -299,7 +299,7 @@
 	other := filepath.Join(dir, "notes.txt")
 	must(t, os.WriteFile(other, make([]byte, 1<<20), 0o600))
 	l := open(t, dir, 1<<20)
-	if err := l.RecordAccepted(msg("a", 1)); !errors.Is(err, ErrFull) {
+	if err := l.RecordAccepted(newMessage("a", 1)); !errors.Is(err, ErrFull) {
 		t.Errorf("got %v, want ErrFull", err)
 	}
 	if _, err := os.Stat(other); err != nil {
@@ -317,13 +317,13 @@
 func TestKilledBetweenCopyAndRemoval(t *testing.T) {
 	dir := t.TempDir()
 	l := open(t, dir, testLimit)
-	must(t, l.RecordAccepted(msg("a", 10)))
+	must(t, l.RecordAccepted(newMessage("a", 10)))
 	must(t, l.RecordCall([]string{"a"}, []int{0}, "s-1", noon))
 	must(t, l.RecordOutcome("a", 0, false, false))
-	must(t, l.RecordAccepted(msg("b", 10)))
+	must(t, l.RecordAccepted(newMessage("b", 10)))
 	must(t, l.rotate())
-	for _, e := range l.homeAt(l.segments[len(l.segments)-2]) {
-		must(t, l.write(e.record()))
+	for _, e := range l.entriesIn(l.segments[len(l.segments)-2]) {
+		must(t, l.appendAndApply(e.toRecord()))
 	}
 	must(t, l.RecordEnd("b"))
 	owed := open(t, dir, testLimit).Pending()
@@ -333,28 +333,28 @@
 }
 
 func FuzzSegment(f *testing.F) {
-	good := appendRecord(nil, record{kind: kindKeep, id: "a", msg: msg("a", 5), open: []attempt{{num: 1, at: noon, host: "s"}}})
-	good = appendRecord(good, record{kind: kindCall, ids: []string{"a"}, nums: []int{2}, ran: attempt{at: noon, host: "s"}})
+	good := appendRecord(nil, record{kind: kindAccepted, id: "a", message: newMessage("a", 5), openAttempts: []attempt{{number: 1, startedAt: noon, host: "s"}}})
+	good = appendRecord(good, record{kind: kindCall, ids: []string{"a"}, attemptNumbers: []int{2}, attempt: attempt{startedAt: noon, host: "s"}})
 	f.Add(good)
-	f.Add(appendRecord(good, record{kind: kindNotice, id: "a", wait: time.Second}))
+	f.Add(appendRecord(good, record{kind: kindNotice, id: "a", retryAfter: time.Second}))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		dir := t.TempDir()
 		must(t, os.WriteFile(filepath.Join(dir, "00000001.seg"), text, 0o600))
 		l := open(t, dir, testLimit)
 		l.Pending()
 		l.Notices()
-		if got := decodeWhole(text); got > len(text) {
+		if got := decodeAll(text); got > len(text) {
 			t.Fatalf("%d records in %d bytes", got, len(text))
 		}
 	})
 }
 
 // decodeWhole decodes text as payloads of every kind, which must not panic, and counts the whole records in it.
-func decodeWhole(text []byte) (n int) {
-	for k := kindKeep; k <= kindEnd+1; k++ {
+func decodeAll(text []byte) (n int) {
+	for k := kindAccepted; k <= kindEnd+1; k++ {
 		decodeRecord(append([]byte{byte(k)}, text...))
 	}
-	scan(text, func(payload []byte) bool { n++; return true })
+	scanRecords(text, func(payload []byte) bool { n++; return true })
 	return n
 }
 
@@ -363,7 +363,7 @@
 	dir := t.TempDir()
 	l := open(t, dir, testLimit)
 	for _, id := range []string{"full", "refused", "ran", "out"} {
-		must(t, l.RecordAccepted(msg(id, 10)))
+		must(t, l.RecordAccepted(newMessage(id, 10)))
 		must(t, l.RecordCall([]string{id}, []int{0}, "s-1", noon))
 	}
 	must(t, l.RecordOutcome("full", 0, false, false))
@@ -389,21 +389,21 @@
 	must(t, os.WriteFile(filepath.Join(dir, ListFile), make([]byte, 100_000), 0o600))
 	must(t, os.WriteFile(filepath.Join(dir, ListTempFile), make([]byte, 50_000), 0o600))
 	l := open(t, dir, testLimit)
-	if l.foreign != 0 || l.aside < 150_000 {
-		t.Errorf("%d bytes are foreign, %d the list's", l.foreign, l.aside)
+	if l.foreignBytes != 0 || l.listBytes < 150_000 {
+		t.Errorf("%d bytes are foreign, %d the list's", l.foreignBytes, l.listBytes)
 	}
-	used := l.used()
-	if !l.ReserveListSpace(10_000) || l.used() >= used {
+	used := l.usedBytes()
+	if !l.ReserveListSpace(10_000) || l.usedBytes() >= used {
 		t.Error("a smaller list frees no room")
 	}
-	if l.ReserveListSpace(testLimit/4) || !l.ReserveListSpace(testLimit/4-4*block) {
+	if l.ReserveListSpace(testLimit/4) || !l.ReserveListSpace(testLimit/4-4*blockSize) {
 		t.Error("the most that is granted is not a quarter")
 	}
 	if !l.ReserveListSpace(0) {
 		t.Error("no room for nothing")
 	}
 	for i := 0; ; i++ { // messages fill the folder up to the reserve
-		if err := l.RecordAccepted(msg(fmt.Sprint("m", i), 1000)); errors.Is(err, ErrFull) {
+		if err := l.RecordAccepted(newMessage(fmt.Sprint("m", i), 1000)); errors.Is(err, ErrFull) {
 			break
 		} else if err != nil {
 			t.Fatal(err)
@@ -412,8 +412,8 @@
 	if l.ReserveListSpace(100_000) {
 		t.Error("room is granted out of what is kept for calls and ends")
 	}
-	if !l.ReserveListSpace(0) || l.used() > l.limit {
-		t.Errorf("%d bytes used of %d", l.used(), l.limit)
+	if !l.ReserveListSpace(0) || l.usedBytes() > l.maxBytes {
+		t.Errorf("%d bytes used of %d", l.usedBytes(), l.maxBytes)
 	}
 
 	// With all the room granted, the folder stays within its bound whatever is recorded.
@@ -425,7 +425,7 @@
 	must(t, os.WriteFile(filepath.Join(dir, ListFile), make([]byte, testLimit/5), 0o600))
 	for i := range 20_000 {
 		id := fmt.Sprint("m", i)
-		if err := l.RecordAccepted(msg(id, 300)); err != nil && !errors.Is(err, ErrFull) {
+		if err := l.RecordAccepted(newMessage(id, 300)); err != nil && !errors.Is(err, ErrFull) {
 			t.Fatal(err)
 		}
 		if i%3 > 0 {
@@ -450,7 +450,7 @@
 	must(t, l.RecordOutageEnd("never out"))
 	for i := range 4000 { // some hundred segments' worth
 		id := fmt.Sprint("m", i)
-		must(t, l.RecordAccepted(msg(id, 500)))
+		must(t, l.RecordAccepted(newMessage(id, 500)))
 		must(t, l.RecordEnd(id))
 	}
 	want := []Outage{{"s-1", noon, 1.25}, {"s-3", noon.Add(2 * time.Second), 0.001}}
@@ -474,7 +474,7 @@
 func TestOutagesGiveWayToMessages(t *testing.T) {
 	l := open(t, t.TempDir(), testLimit)
 	for i := 0; ; i++ {
-		if err := l.RecordAccepted(msg(fmt.Sprint("m", i), 4000)); errors.Is(err, ErrFull) {
+		if err := l.RecordAccepted(newMessage(fmt.Sprint("m", i), 4000)); errors.Is(err, ErrFull) {
 			break
 		} else if err != nil {
 			t.Fatal(err)
--- a/internal/ledger/record.go
+++ b/internal/ledger/record.go
@@ -1,5 +1,5 @@
-// This file owns the form of the records: a mark, the length and checksum of a payload, the payload. It must never
-// panic on what it reads, whatever a disk made of it.
+// This file owns the encoding of records: a magic number, the length and the checksum of a payload, and the payload. It
+// must never panic on what it reads, however a disk has damaged it.
 
 package ledger
 
@@ -12,151 +12,173 @@
 	"eiderhaven/internal/message"
 )
 
-type kind byte
+// recordKind is the first byte of a payload.
+type recordKind byte
 
+// The kinds of records. Their numbers are part of the format.
 const (
-	kindKeep    kind = 1 + iota // a message with all that is known of its attempts
-	kindCall                    // a call is about to go out
-	kindOutcome                 // how an attempt ended
-	kindNotice                  // a message's end, of which the platform has to be told
-	kindEnd                     // nothing more is owed
-	kindOutage                  // an endpoint is taken for out; a program from before it counts this as broken and goes on
+	kindAccepted recordKind = 1 + iota // a message and everything known of its attempts
+	kindCall                           // a call is about to be made
+	kindOutcome                        // how an attempt ended
+	kindNotice                         // a message's end, of which the platform has to be notified
+	kindEnd                            // messages, notices or outages that need nothing more
+	kindOutage                         // an endpoint's outage; older versions count it as broken and go on
 )
 
-// record is the content of any record; which fields count goes by the kind.
+// record is the content of a record of any kind. The kind determines which fields are used.
 type record struct {
-	kind     kind
-	id       string
-	ids      []string
-	nums     []int // for a call: the attempt of each
-	seq      uint64
-	msg      *message.Message
-	attempts int // made so far; for an outcome, its number
-	open     []attempt
-	mayRun   bool
-	failed   bool    // for an outcome: the attempt failed, other than by being turned away; what may have run did
-	ran      attempt // for a call: where and when
-	dead     bool
-	wait     time.Duration
-	rate     float64 // of an outage
+	kind           recordKind
+	id             string
+	ids            []string
+	attemptNumbers []int // in a call: the number of each message's attempt
+	seq            uint64
+	message        *message.Message
+	attemptCount   int       // in a message: attempts made so far; in an outcome: the number of the attempt
+	openAttempts   []attempt // in a message: attempts without an outcome
+	mayHaveRun     bool
+	failed         bool    // in an outcome: the attempt failed and was not merely refused; true of all that may have run
+	attempt        attempt // in a call or an outage: when and where; in a message: the earliest that may have run
+	dead           bool
+	retryAfter     time.Duration
+	rate           float64 // in an outage
 }
 
 var (
-	mark  = []byte("EHr1")
-	table = crc32.MakeTable(crc32.Castagnoli)
+	magic    = []byte("EHr1")
+	crcTable = crc32.MakeTable(crc32.Castagnoli)
 )
 
-const headLen = 12
+// The header of a record: the magic number, then length and checksum of the payload, 4 bytes each, big-endian.
+const (
+	lengthOffset   = 4
+	checksumOffset = 8
+	headerSize     = 12
+)
 
+// rateScale is the factor by which rates are stored, as whole numbers.
+const rateScale = 1000
+
+// How the outcome of an attempt is stored. Versions before outcomeFailedNotRun read it as outcomeNotRun, which is as
+// safe.
+const (
+	outcomeNotRun       = 0
+	outcomeMayHaveRun   = 1
+	outcomeFailedNotRun = 2
+)
+
+// appendRecord appends an encoded record with its header.
 func appendRecord(buf []byte, r record) []byte {
 	start := len(buf)
-	buf = append(buf, mark...)
-	buf = append(buf, make([]byte, headLen-len(mark))...)
+	buf = append(buf, magic...)
+	buf = append(buf, make([]byte, headerSize-len(magic))...)
 	buf = r.appendPayload(buf)
-	payload := buf[start+headLen:]
-	binary.BigEndian.PutUint32(buf[start+4:], uint32(len(payload)))
-	binary.BigEndian.PutUint32(buf[start+8:], crc32.Checksum(payload, table))
+	payload := buf[start+headerSize:]
+	binary.BigEndian.PutUint32(buf[start+lengthOffset:], uint32(len(payload)))
+	binary.BigEndian.PutUint32(buf[start+checksumOffset:], crc32.Checksum(payload, crcTable))
 	return buf
 }
 
 func (r record) appendPayload(buf []byte) []byte {
 	buf = append(buf, byte(r.kind))
 	switch r.kind {
-	case kindKeep:
-		buf = appendText(buf, r.id)
+	case kindAccepted:
+		buf = appendString(buf, r.id)
 		buf = binary.AppendUvarint(buf, r.seq)
-		buf = appendText(buf, r.msg.Class)
-		buf = appendText(buf, r.msg.Tenant)
-		buf = appendText(buf, r.msg.IdempotencyKey)
-		buf = binary.AppendVarint(buf, int64(r.msg.Dest))
-		buf = binary.AppendVarint(buf, r.msg.Deadline.UnixMilli())
-		buf = binary.AppendUvarint(buf, uint64(r.attempts))
-		buf = append(buf, flag(r.mayRun))
-		if r.mayRun {
-			buf = appendAttempt(buf, r.ran)
+		buf = appendString(buf, r.message.Class)
+		buf = appendString(buf, r.message.Tenant)
+		buf = appendString(buf, r.message.IdempotencyKey)
+		buf = binary.AppendVarint(buf, int64(r.message.Dest))
+		buf = binary.AppendVarint(buf, r.message.Deadline.UnixMilli())
+		buf = binary.AppendUvarint(buf, uint64(r.attemptCount))
+		buf = append(buf, boolByte(r.mayHaveRun))
+		if r.mayHaveRun {
+			buf = appendAttempt(buf, r.attempt)
 		}
-		buf = binary.AppendUvarint(buf, uint64(len(r.open)))
-		for _, a := range r.open {
+		buf = binary.AppendUvarint(buf, uint64(len(r.openAttempts)))
+		for _, a := range r.openAttempts {
 			buf = appendAttempt(buf, a)
 		}
-		buf = appendText(buf, string(r.msg.Body))
+		buf = appendString(buf, string(r.message.Body))
 	case kindCall:
-		buf = appendAttempt(buf, r.ran)
-		buf = appendTexts(buf, r.ids)
-		for _, n := range r.nums {
+		buf = appendAttempt(buf, r.attempt)
+		buf = appendStrings(buf, r.ids)
+		for _, n := range r.attemptNumbers {
 			buf = binary.AppendUvarint(buf, uint64(n))
 		}
 	case kindOutcome:
-		buf = appendText(buf, r.id)
-		buf = binary.AppendUvarint(buf, uint64(r.attempts))
-		buf = append(buf, ending(r.mayRun, r.failed))
+		buf = appendString(buf, r.id)
+		buf = binary.AppendUvarint(buf, uint64(r.attemptCount))
+		buf = append(buf, outcomeByte(r.mayHaveRun, r.failed))
 	case kindNotice:
-		buf = appendText(buf, r.id)
+		buf = appendString(buf, r.id)
 		buf = binary.AppendUvarint(buf, r.seq)
-		buf = append(buf, flag(r.dead))
-		buf = binary.AppendUvarint(buf, uint64(r.wait.Milliseconds()))
+		buf = append(buf, boolByte(r.dead))
+		buf = binary.AppendUvarint(buf, uint64(r.retryAfter.Milliseconds()))
 	case kindEnd:
-		buf = appendTexts(buf, r.ids)
+		buf = appendStrings(buf, r.ids)
 	case kindOutage:
 		buf = binary.AppendUvarint(buf, r.seq)
-		buf = appendAttempt(buf, r.ran)
-		buf = binary.AppendUvarint(buf, uint64(max(0, r.rate*1000)))
+		buf = appendAttempt(buf, r.attempt)
+		buf = binary.AppendUvarint(buf, uint64(max(0, r.rate*rateScale)))
 	}
 	return buf
 }
 
-func appendText(buf []byte, s string) []byte {
+func appendString(buf []byte, s string) []byte {
 	return append(binary.AppendUvarint(buf, uint64(len(s))), s...)
 }
 
-func appendTexts(buf []byte, list []string) []byte {
+func appendStrings(buf []byte, list []string) []byte {
 	buf = binary.AppendUvarint(buf, uint64(len(list)))
 	for _, s := range list {
-		buf = appendText(buf, s)
+		buf = appendString(buf, s)
 	}
 	return buf
 }
 
 func appendAttempt(buf []byte, a attempt) []byte {
-	buf = binary.AppendUvarint(buf, uint64(a.num))
-	buf = binary.AppendVarint(buf, a.at.UnixMilli())
-	return appendText(buf, a.host)
+	buf = binary.AppendUvarint(buf, uint64(a.number))
+	buf = binary.AppendVarint(buf, a.startedAt.UnixMilli())
+	return appendString(buf, a.host)
 }
 
-func flag(b bool) byte {
+func boolByte(b bool) byte {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// ending is how an attempt ended: 1 if it may have run, 2 if it failed and never ran, else 0. A program from before the 2
-// takes that for the 0, which is as safe.
-func ending(mayRun, failed bool) byte {
-	if !mayRun && failed {
-		return 2
+// outcomeByte encodes how an attempt ended.
+func outcomeByte(mayHaveRun, failed bool) byte {
+	switch {
+	case mayHaveRun:
+		return outcomeMayHaveRun
+	case failed:
+		return outcomeFailedNotRun
 	}
-	return flag(mayRun)
+	return outcomeNotRun
 }
 
-// scan calls each for every payload that is whole and returns how many records were broken. After one it goes on
-// at the next mark. A torn tail, as a killed process leaves it, counts as one.
-func scan(text []byte, each func(payload []byte) bool) (broken int) {
-	for len(text) > 0 {
-		if payload, ok := cutRecord(text); ok {
-			if !each(payload) {
+// scanRecords calls handle for the payload of every intact record. It returns the number of broken records, including
+// those for which handle returns false. After a broken one it goes on at the next magic number that starts an intact
+// record. A record cut off at the end, as a killed process leaves it, counts as one.
+func scanRecords(data []byte, handle func(payload []byte) bool) (broken int) {
+	for len(data) > 0 {
+		if payload, ok := nextPayload(data); ok {
+			if !handle(payload) {
 				broken++
 			}
-			text = text[headLen+len(payload):]
+			data = data[headerSize+len(payload):]
 			continue
 		}
 		broken++
-		next := bytes.Index(text[1:], mark)
+		next := bytes.Index(data[1:], magic)
 		for next >= 0 {
-			if _, ok := cutRecord(text[1+next:]); ok {
+			if _, ok := nextPayload(data[1+next:]); ok {
 				break
 			}
-			more := bytes.Index(text[2+next:], mark)
+			more := bytes.Index(data[2+next:], magic)
 			if more < 0 {
 				next = -1
 				break
@@ -166,133 +188,149 @@
 		if next < 0 {
 			return broken
 		}
-		text = text[1+next:]
+		data = data[1+next:]
 	}
 	return broken
 }
 
-// cutRecord returns the payload of the record that text begins with, if it is whole.
-func cutRecord(text []byte) ([]byte, bool) {
-	if len(text) < headLen || !bytes.HasPrefix(text, mark) {
+// nextPayload returns the payload of the record at the start of data, and whether that record is intact.
+func nextPayload(data []byte) ([]byte, bool) {
+	if len(data) < headerSize || !bytes.HasPrefix(data, magic) {
 		return nil, false
 	}
-	n := binary.BigEndian.Uint32(text[4:])
-	if uint64(n) > uint64(len(text)-headLen) {
+	n := binary.BigEndian.Uint32(data[lengthOffset:])
+	if uint64(n) > uint64(len(data)-headerSize) {
 		return nil, false
 	}
-	payload := text[headLen : headLen+int(n)]
-	return payload, crc32.Checksum(payload, table) == binary.BigEndian.Uint32(text[8:])
+	payload := data[headerSize : headerSize+int(n)]
+	return payload, crc32.Checksum(payload, crcTable) == binary.BigEndian.Uint32(data[checksumOffset:])
 }
 
-// cursor reads a payload; after a fault everything reads as zero.
-type cursor struct {
-	text []byte
-	bad  bool
+// payloadReader reads the values of a payload. After an error every value reads as zero.
+type payloadReader struct {
+	data   []byte
+	failed bool
 }
 
-func (c *cursor) uint() uint64 {
-	v, n := binary.Uvarint(c.text)
-	c.skip(n)
+func (p *payloadReader) uint() uint64 {
+	v, n := binary.Uvarint(p.data)
+	p.skip(n)
 	return v
 }
 
-func (c *cursor) int() int64 {
-	v, n := binary.Varint(c.text)
-	c.skip(n)
+func (p *payloadReader) int() int64 {
+	v, n := binary.Varint(p.data)
+	p.skip(n)
 	return v
 }
 
-// skip moves on by n bytes, a count that is not positive being a fault.
-func (c *cursor) skip(n int) {
-	if n <= 0 || n > len(c.text) {
-		c.bad, c.text = true, nil
+// skip moves on by n bytes. An n that is not positive is an error, as the varint decoders return it for bad input.
+func (p *payloadReader) skip(n int) {
+	if n <= 0 || n > len(p.data) {
+		p.failed, p.data = true, nil
 		return
 	}
-	c.text = c.text[n:]
+	p.data = p.data[n:]
 }
 
-// ended reads how an attempt ended, as ending writes it.
-func (c *cursor) ended() (mayRun, failed bool) {
-	if len(c.text) == 0 {
-		c.bad = true
+// outcome reads how an attempt ended, as outcomeByte encodes it.
+func (p *payloadReader) outcome() (mayHaveRun, failed bool) {
+	if len(p.data) == 0 {
+		p.failed = true
 		return false, false
 	}
-	b := c.text[0]
-	c.skip(1)
-	return b == 1, b == 1 || b == 2
+	b := p.data[0]
+	p.skip(1)
+	mayHaveRun = b == outcomeMayHaveRun
+	return mayHaveRun, mayHaveRun || b == outcomeFailedNotRun
 }
 
-func (c *cursor) bool() bool {
-	if len(c.text) == 0 {
-		c.bad = true
+func (p *payloadReader) bool() bool {
+	if len(p.data) == 0 {
+		p.failed = true
 		return false
 	}
-	b := c.text[0]
-	c.skip(1)
+	b := p.data[0]
+	p.skip(1)
 	return b == 1
 }
 
-func (c *cursor) string() string {
-	n := c.uint()
-	if n > uint64(len(c.text)) {
-		c.bad, c.text = true, nil
+func (p *payloadReader) string() string {
+	n := p.uint()
+	if n > uint64(len(p.data)) {
+		p.failed, p.data = true, nil
 		return ""
 	}
-	s := string(c.text[:n])
-	c.text = c.text[n:]
+	s := string(p.data[:n])
+	p.data = p.data[n:]
 	return s
 }
 
-func (c *cursor) strings() []string {
-	n := c.uint()
+func (p *payloadReader) strings() []string {
+	n := p.uint()
 	var list []string
-	for ; n > 0 && !c.bad; n-- {
-		list = append(list, c.string())
+	for ; n > 0 && !p.failed; n-- {
+		list = append(list, p.string())
 	}
 	return list
 }
 
-func (c *cursor) attempt() attempt {
-	return attempt{num: int(c.uint()), at: time.UnixMilli(c.int()), host: c.string()}
+func (p *payloadReader) attempt() attempt {
+	return attempt{number: int(p.uint()), startedAt: time.UnixMilli(p.int()), host: p.string()}
 }
 
-// decodeRecord reads a payload.
+// decodeRecord decodes a payload. It returns false for a payload of an unknown kind, one that is cut short and one with
+// trailing bytes.
 func decodeRecord(payload []byte) (record, bool) {
 	if len(payload) == 0 {
 		return record{}, false
 	}
-	r, c := record{kind: kind(payload[0])}, &cursor{text: payload[1:]}
+	r := record{kind: recordKind(payload[0])}
+	p := &payloadReader{data: payload[1:]}
 	switch r.kind {
-	case kindKeep:
-		r.id, r.seq = c.string(), c.uint()
-		r.msg = &message.Message{ID: r.id, Class: c.string(), Tenant: c.string(), IdempotencyKey: c.string(), Dest: int(c.int()),
-			Deadline: time.UnixMilli(c.int())}
-		r.attempts = int(c.uint())
-		if r.mayRun = c.bool(); r.mayRun {
-			r.ran = c.attempt()
+	case kindAccepted:
+		r.id = p.string()
+		r.seq = p.uint()
+		// The fields are read in the order in which they are listed here.
+		r.message = &message.Message{
+			ID:             r.id,
+			Class:          p.string(),
+			Tenant:         p.string(),
+			IdempotencyKey: p.string(),
+			Dest:           int(p.int()),
+			Deadline:       time.UnixMilli(p.int()),
+		}
+		r.attemptCount = int(p.uint())
+		if r.mayHaveRun = p.bool(); r.mayHaveRun {
+			r.attempt = p.attempt()
 		}
-		for n := c.uint(); n > 0 && !c.bad; n-- {
-			r.open = append(r.open, c.attempt())
+		for n := p.uint(); n > 0 && !p.failed; n-- {
+			r.openAttempts = append(r.openAttempts, p.attempt())
 		}
-		r.msg.Body = []byte(c.string())
+		r.message.Body = []byte(p.string())
 	case kindCall:
-		r.ran, r.ids = c.attempt(), c.strings()
+		r.attempt = p.attempt()
+		r.ids = p.strings()
 		for range r.ids {
-			r.nums = append(r.nums, int(c.uint()))
+			r.attemptNumbers = append(r.attemptNumbers, int(p.uint()))
 		}
 	case kindOutcome:
-		r.id, r.attempts = c.string(), int(c.uint())
-		r.mayRun, r.failed = c.ended()
+		r.id = p.string()
+		r.attemptCount = int(p.uint())
+		r.mayHaveRun, r.failed = p.outcome()
 	case kindNotice:
-		r.id, r.seq, r.dead = c.string(), c.uint(), c.bool()
-		r.wait = time.Duration(c.uint()) * time.Millisecond
+		r.id = p.string()
+		r.seq = p.uint()
+		r.dead = p.bool()
+		r.retryAfter = time.Duration(p.uint()) * time.Millisecond
 	case kindEnd:
-		r.ids = c.strings()
+		r.ids = p.strings()
 	case kindOutage:
-		r.seq, r.ran = c.uint(), c.attempt()
-		r.rate = float64(c.uint()) / 1000
+		r.seq = p.uint()
+		r.attempt = p.attempt()
+		r.rate = float64(p.uint()) / rateScale
 	default:
 		return record{}, false
 	}
-	return r, !c.bad && len(c.text) == 0
+	return r, !p.failed && len(p.data) == 0
 }
