--- a/internal/exchange/directory.go
+++ b/internal/exchange/directory.go
@@ -1,5 +1,5 @@
-// This file owns the numbers that the module knows endpoints by. It must never hand out a number twice, nor forget one
-// before the module has: a call to an endpoint may end long after it left the list.
+// This file owns the IDs by which the decision module knows endpoints. It must never assign an ID twice, nor forget one
+// before the module has: a call to an endpoint may end long after the endpoint left the list.
 
 package exchange
 
@@ -14,239 +14,267 @@
 	"eiderhaven/rules"
 )
 
-// directory numbers the endpoints for the module and knows how to reach them. A list may have hundreds of thousands, most of which
-// nothing is ever sent to: each costs a row of 24 bytes, a place in the index and the letters of its name and address.
+// directory assigns endpoint IDs for the module and stores how to reach the endpoints. A list may hold hundreds of
+// thousands of endpoints, and most of them never get a call. Each costs a row of 24 bytes, an index entry and the bytes
+// of its name and address.
 type directory struct {
-	last   rules.EndpointID
-	rows   []row // in the order of their numbers
-	dead   int   // of them
-	byName *index.Index[string]
-	text   text
-	odd    map[rules.EndpointID]Host // what does not fit a row
-	dests  map[int]uint64            // heard of at any time, 64 to a word
+	lastID     rules.EndpointID
+	rows       []row // ordered by ID
+	deadRows   int   // rows with deadKind
+	byName     *index.Index[string]
+	arena      stringArena
+	overflow   map[rules.EndpointID]Host // hosts whose values do not fit a row
+	knownDests map[int]uint64            // every destination ever listed: a bitmap of 64 destinations per word
 }
 
 // row is one endpoint.
 type row struct {
-	id   rules.EndpointID
-	at   uint32 // of its name and address in the text
-	rate float64
-	dest int32
-	kind uint16 // or one of those below
-	zone uint16
+	id     rules.EndpointID
+	offset uint32 // of its name and address in the arena
+	rate   float64
+	dest   int32
+	kind   uint16 // kind of destination, or overflowKind or deadKind
+	zone   uint16
 }
 
+// Values of row.kind that are not kinds of destinations.
 const (
-	oddKind   = math.MaxUint16 - 1 // the host is among the odd
-	forgotten = math.MaxUint16     // the row is dead
+	overflowKind = math.MaxUint16 - 1 // the host is in directory.overflow
+	deadKind     = math.MaxUint16     // the endpoint was forgotten
 )
 
+// compactSlackRows keeps small directories from being compacted again and again.
+const compactSlackRows = 64
+
 func newDirectory() *directory {
-	d := &directory{odd: map[rules.EndpointID]Host{}, dests: map[int]uint64{}}
-	d.byName = index.New(d.name)
+	d := &directory{overflow: map[rules.EndpointID]Host{}, knownDests: map[int]uint64{}}
+	d.byName = index.New(d.nameAt)
 	return d
 }
 
-// name is that of the endpoint in a row.
-func (d *directory) name(at uint32) string {
-	name, _ := d.text.get(d.rows[at].at)
+// nameAt returns the name of the endpoint in a row.
+func (d *directory) nameAt(pos uint32) string {
+	name, _ := d.arena.get(d.rows[pos].offset)
 	return name
 }
 
-// update takes in a listing and returns it in the module's terms, with the peers that are no longer to be reached.
-func (d *directory) update(l Listing) (out rules.ListUpdate, left []Peer) {
+// update applies a listing. It returns the listing in the module's terms and the peers that are no longer reachable:
+// endpoints that left the list, and the old addresses of endpoints that moved.
+func (d *directory) update(l Listing) (out rules.ListUpdate, unreachable []Peer) {
 	out = rules.ListUpdate{Whole: l.Whole, Entries: make([]rules.Entry, 0, len(l.Hosts))}
 	if more := len(l.Hosts) - len(d.rows); l.Whole && more > 0 {
 		d.rows = slices.Grow(d.rows, more)
 		d.byName.Reserve(more)
 	}
-	var named []bool // by row
+	var listed []bool // by row, for a whole list
 	if l.Whole {
-		named = make([]bool, len(d.rows)+len(l.Hosts))
+		listed = make([]bool, len(d.rows)+len(l.Hosts))
 	}
 	for _, h := range l.Hosts {
-		at, known := d.byName.Find(h.Name)
-		if known {
-			old := d.at(at)
+		pos, known := d.byName.Find(h.Name)
+		switch {
+		case known:
+			old := d.hostAt(pos)
 			if h.Gone {
 				h = old
 				h.Gone = true
 			}
 			if h.Gone || old.Addr != h.Addr {
-				left = append(left, old.Peer)
+				unreachable = append(unreachable, old.Peer)
 			}
-			d.set(at, old.Addr, h)
-		} else if !h.Gone { // else gone before it was ever heard of, or long since
-			at = d.add(h)
-		} else {
+			d.setRow(pos, old.Addr, h)
+		case !h.Gone:
+			pos = d.add(h)
+		default: // removed before it was ever listed, or already forgotten
 			continue
 		}
 		if l.Whole {
-			named[at] = true
+			listed[pos] = true
 		}
-		d.dests[h.Dest>>6] |= 1 << (h.Dest & 63)
-		out.Entries = append(out.Entries, rules.Entry{Endpoint: d.rows[at].id, Destination: h.Dest, Kind: h.Kind, Zone: h.Zone,
-			ListedRate: h.Rate, Draining: h.Draining, Gone: h.Gone})
+		d.knownDests[h.Dest>>6] |= 1 << (h.Dest & 63)
+		out.Entries = append(out.Entries, rules.Entry{
+			Endpoint:    d.rows[pos].id,
+			Destination: h.Dest,
+			Kind:        h.Kind,
+			Zone:        h.Zone,
+			ListedRate:  h.Rate,
+			Draining:    h.Draining,
+			Gone:        h.Gone,
+		})
 	}
 	if l.Whole {
-		for at, r := range d.rows {
-			if !named[at] && r.kind != forgotten {
-				left = append(left, d.at(uint32(at)).Peer)
+		for pos, r := range d.rows {
+			if !listed[pos] && r.kind != deadKind {
+				unreachable = append(unreachable, d.hostAt(uint32(pos)).Peer)
 			}
 		}
 	}
-	d.tidy()
-	return out, left
-}
-
-// add numbers an endpoint.
-func (d *directory) add(h Host) (at uint32) {
-	d.last++
-	at = uint32(len(d.rows))
-	d.rows = append(d.rows, row{id: d.last, at: d.text.add(h.Peer)})
-	d.byName.Put(at)
-	d.set(at, h.Addr, h)
-	return at
-}
-
-// set puts a host into its row, whose endpoint stood at this address.
-func (d *directory) set(at uint32, dial string, h Host) {
-	r := &d.rows[at]
-	if h.Addr != dial {
-		d.text.drop(r.at)
-		r.at = d.text.add(h.Peer)
+	d.compact()
+	return out, unreachable
+}
+
+// add adds an endpoint under a new ID and returns its row.
+func (d *directory) add(h Host) (pos uint32) {
+	d.lastID++
+	pos = uint32(len(d.rows))
+	d.rows = append(d.rows, row{id: d.lastID, offset: d.arena.add(h.Peer)})
+	d.byName.Put(pos)
+	d.setRow(pos, h.Addr, h)
+	return pos
+}
+
+// setRow stores a host in its row. oldAddr is the address that the row holds so far.
+func (d *directory) setRow(pos uint32, oldAddr string, h Host) {
+	r := &d.rows[pos]
+	if h.Addr != oldAddr {
+		d.arena.markDead(r.offset)
+		r.offset = d.arena.add(h.Peer)
 	}
-	delete(d.odd, r.id)
-	if h.Kind < 0 || h.Kind >= oddKind || h.Zone < 0 || h.Zone > math.MaxUint16 || int(int32(h.Dest)) != h.Dest {
+	delete(d.overflow, r.id)
+	fits := h.Kind >= 0 && h.Kind < overflowKind &&
+		h.Zone >= 0 && h.Zone <= math.MaxUint16 &&
+		int(int32(h.Dest)) == h.Dest
+	if !fits {
 		h.Draining, h.Gone = false, false
-		r.kind, d.odd[r.id] = oddKind, h
+		r.kind = overflowKind
+		d.overflow[r.id] = h
 		return
 	}
-	r.rate, r.dest, r.kind, r.zone = h.Rate, int32(h.Dest), uint16(h.Kind), uint16(h.Zone)
+	r.rate = h.Rate
+	r.dest = int32(h.Dest)
+	r.kind = uint16(h.Kind)
+	r.zone = uint16(h.Zone)
 }
 
-// at is the host in a row. Whether it drains or is gone is the module's to know.
-func (d *directory) at(at uint32) Host {
-	r := d.rows[at]
+// hostAt returns the host in a row. Draining and Gone are not set: only the module keeps them.
+func (d *directory) hostAt(pos uint32) Host {
+	r := d.rows[pos]
 	var h Host
-	if r.kind == oddKind {
-		h = d.odd[r.id]
+	if r.kind == overflowKind {
+		h = d.overflow[r.id]
 	} else {
 		h = Host{Dest: int(r.dest), Kind: int(r.kind), Zone: int(r.zone), Rate: r.rate}
 	}
-	h.Name, h.Addr = d.text.get(r.at)
+	h.Name, h.Addr = d.arena.get(r.offset)
 	return h
 }
 
-// find is the row of a number. Where no number before it is missing, it is where the number says.
-func (d *directory) find(id rules.EndpointID) (at uint32, known bool) {
+// findRow returns the row of an ID. As long as no earlier ID is missing, the position follows from the ID itself;
+// otherwise it is searched for below that position.
+func (d *directory) findRow(id rules.EndpointID) (pos uint32, known bool) {
 	if len(d.rows) == 0 || id < d.rows[0].id {
 		return 0, false
 	}
 	i := min(int(id-d.rows[0].id), len(d.rows)-1)
 	if d.rows[i].id != id {
-		i, known = slices.BinarySearchFunc(d.rows[:i], id, func(r row, id rules.EndpointID) int { return cmp.Compare(r.id, id) })
+		compareID := func(r row, id rules.EndpointID) int { return cmp.Compare(r.id, id) }
+		i, known = slices.BinarySearchFunc(d.rows[:i], id, compareID)
 		if !known {
 			return 0, false
 		}
 	}
-	return uint32(i), d.rows[i].kind != forgotten
+	return uint32(i), d.rows[i].kind != deadKind
 }
 
-// host is the endpoint of a number, a zero Host for one not known.
+// host returns the endpoint with an ID, or a zero Host if the ID is not known.
 func (d *directory) host(id rules.EndpointID) Host {
-	if at, known := d.find(id); known {
-		return d.at(at)
+	if pos, known := d.findRow(id); known {
+		return d.hostAt(pos)
 	}
 	return Host{}
 }
 
-// id is the number of a name, 0 for one not known.
-func (d *directory) id(name string) rules.EndpointID {
-	if at, known := d.byName.Find(name); known {
-		return d.rows[at].id
+// idByName returns the ID of an endpoint, or 0 if the name is not known.
+func (d *directory) idByName(name string) rules.EndpointID {
+	if pos, known := d.byName.Find(name); known {
+		return d.rows[pos].id
 	}
 	return 0
 }
 
-// knows tells whether a destination was heard of at any time.
-func (d *directory) knows(dest int) bool { return d.dests[dest>>6]>>(dest&63)&1 != 0 }
+// knowsDest reports whether a destination has ever been listed.
+func (d *directory) knowsDest(dest int) bool { return d.knownDests[dest>>6]>>(dest&63)&1 != 0 }
 
-// forget drops an endpoint that the module has forgotten.
+// forget removes an endpoint that the module has forgotten.
 func (d *directory) forget(id rules.EndpointID) {
-	at, known := d.find(id)
+	pos, known := d.findRow(id)
 	if !known {
 		return
 	}
-	d.byName.Remove(d.name(at))
-	d.text.drop(d.rows[at].at)
-	d.rows[at].kind = forgotten
-	d.dead++
-	delete(d.odd, id)
-	d.tidy()
+	d.byName.Remove(d.nameAt(pos))
+	d.arena.markDead(d.rows[pos].offset)
+	d.rows[pos].kind = deadKind
+	d.deadRows++
+	delete(d.overflow, id)
+	d.compact()
 }
 
-// tidy moves what is alive together once most of the rows or of the text is dead, so that both stay bounded.
-func (d *directory) tidy() {
-	if 2*d.dead <= len(d.rows)+64 && 2*d.text.dead <= d.text.size+chunk {
+// compact rewrites rows and arena without the dead entries once more than half of either is dead, so that both stay
+// bounded.
+func (d *directory) compact() {
+	if 2*d.deadRows <= len(d.rows)+compactSlackRows && 2*d.arena.deadBytes <= d.arena.size+chunkSize {
 		return
 	}
-	old := d.text
-	d.text = text{}
-	d.rows = slices.Clone(slices.DeleteFunc(d.rows, func(r row) bool { return r.kind == forgotten }))
-	d.dead = 0
-	d.byName = index.New(d.name)
+	old := d.arena
+	d.arena = stringArena{}
+	d.rows = slices.Clone(slices.DeleteFunc(d.rows, func(r row) bool { return r.kind == deadKind }))
+	d.deadRows = 0
+	d.byName = index.New(d.nameAt)
 	d.byName.Reserve(len(d.rows))
-	for at := range d.rows {
-		name, dial := old.get(d.rows[at].at)
-		d.rows[at].at = d.text.add(Peer{name, dial})
-		d.byName.Put(uint32(at))
+	for pos := range d.rows {
+		name, addr := old.get(d.rows[pos].offset)
+		d.rows[pos].offset = d.arena.add(Peer{name, addr})
+		d.byName.Put(uint32(pos))
 	}
 }
 
-// text is the names and addresses, one after the other, each after its length, in chunks that are never moved: what is got from
-// it stays valid. A place in it is the chunk's number times chunk, and the place there.
-type text struct {
-	chunks     []*strings.Builder
-	size, dead int
+// stringArena stores names and addresses one after the other, each pair preceded by the two lengths. Its chunks are
+// never moved, so strings returned from it stay valid. The offset of a pair is chunk number * chunkSize + position in
+// the chunk.
+type stringArena struct {
+	chunks          []*strings.Builder
+	size, deadBytes int
 }
 
-const chunk = 16 << 10
+const chunkSize = 16 << 10 // bytes
 
-func (t *text) add(p Peer) uint32 {
-	head := binary.AppendUvarint(binary.AppendUvarint(nil, uint64(len(p.Name))), uint64(len(p.Addr)))
-	n, last := len(head)+len(p.Name)+len(p.Addr), len(t.chunks)-1
-	if last < 0 || t.chunks[last].Len()+n > chunk {
+// add stores a name and address and returns their offset.
+func (a *stringArena) add(p Peer) uint32 {
+	lengths := binary.AppendUvarint(nil, uint64(len(p.Name)))
+	lengths = binary.AppendUvarint(lengths, uint64(len(p.Addr)))
+	size := len(lengths) + len(p.Name) + len(p.Addr)
+	last := len(a.chunks) - 1
+	if last < 0 || a.chunks[last].Len()+size > chunkSize {
 		b := &strings.Builder{}
-		b.Grow(max(n, chunk))
-		t.chunks = append(t.chunks, b)
+		b.Grow(max(size, chunkSize))
+		a.chunks = append(a.chunks, b)
 		last++
 	}
-	b := t.chunks[last]
-	at := last*chunk + b.Len()
-	b.Write(head)
+	b := a.chunks[last]
+	offset := last*chunkSize + b.Len()
+	b.Write(lengths)
 	b.WriteString(p.Name)
 	b.WriteString(p.Addr)
-	t.size += n
-	return uint32(at)
+	a.size += size
+	return uint32(offset)
 }
 
-// entry is where the name begins in a chunk, and the lengths of name and address.
-func (t *text) entry(at uint32) (s string, name, dial int) {
-	s = t.chunks[at/chunk].String()[at%chunk:]
-	n, a := binary.Uvarint([]byte(s[:min(len(s), binary.MaxVarintLen64)]))
-	s = s[a:]
-	m, b := binary.Uvarint([]byte(s[:min(len(s), binary.MaxVarintLen64)]))
-	return s[b:], int(n), int(m)
+// entry returns the chunk from where the name begins, and the lengths of the name and the address that follows it.
+func (a *stringArena) entry(offset uint32) (s string, nameLen, addrLen int) {
+	s = a.chunks[offset/chunkSize].String()[offset%chunkSize:]
+	n, used := binary.Uvarint([]byte(s[:min(len(s), binary.MaxVarintLen64)]))
+	s = s[used:]
+	m, used := binary.Uvarint([]byte(s[:min(len(s), binary.MaxVarintLen64)]))
+	return s[used:], int(n), int(m)
 }
 
-func (t *text) get(at uint32) (name, dial string) {
-	s, n, m := t.entry(at)
+func (a *stringArena) get(offset uint32) (name, addr string) {
+	s, n, m := a.entry(offset)
 	return s[:n], s[n : n+m]
 }
 
-// drop counts an entry that is of no more use.
-func (t *text) drop(at uint32) {
-	_, n, m := t.entry(at)
-	t.dead += n + m + 2
+// markDead counts an entry that is no longer used, with one byte for each of its lengths.
+func (a *stringArena) markDead(offset uint32) {
+	_, n, m := a.entry(offset)
+	a.deadBytes += n + m + 2
 }
--- a/internal/exchange/directory_test.go
+++ b/internal/exchange/directory_test.go
@@ -14,14 +14,14 @@
 )
 
 // plain is a directory as two maps, which is what the compact one must come to.
-type plain struct {
-	last  rules.EndpointID
-	ids   map[string]rules.EndpointID
-	hosts map[rules.EndpointID]Host
-	dests map[int]bool
+type referenceDirectory struct {
+	lastID rules.EndpointID
+	ids    map[string]rules.EndpointID
+	hosts  map[rules.EndpointID]Host
+	dests  map[int]bool
 }
 
-func (d *plain) update(l Listing) (out rules.ListUpdate, left []Peer) {
+func (d *referenceDirectory) update(l Listing) (out rules.ListUpdate, left []Peer) {
 	out = rules.ListUpdate{Whole: l.Whole, Entries: []rules.Entry{}}
 	named := map[rules.EndpointID]bool{}
 	for _, h := range l.Hosts {
@@ -35,8 +35,8 @@
 			h.Gone = true
 		}
 		if id == 0 {
-			d.last++
-			id = d.last
+			d.lastID++
+			id = d.lastID
 			d.ids[h.Name] = id
 		} else if h.Gone || old.Addr != h.Addr {
 			left = append(left, old.Peer)
@@ -68,7 +68,7 @@
 			}
 			return fmt.Sprint("s-", n)
 		}
-		d, want := newDirectory(), &plain{ids: map[string]rules.EndpointID{}, hosts: map[rules.EndpointID]Host{}, dests: map[int]bool{}}
+		d, want := newDirectory(), &referenceDirectory{ids: map[string]rules.EndpointID{}, hosts: map[rules.EndpointID]Host{}, dests: map[int]bool{}}
 		for step := range 60 {
 			l := Listing{Whole: rng.IntN(4) == 0}
 			for range rng.IntN(1 + size) {
@@ -78,7 +78,7 @@
 				case 0:
 					h.Dest = 1<<40 + rng.IntN(9)
 				case 1:
-					h.Kind = oddKind + rng.IntN(3)
+					h.Kind = overflowKind + rng.IntN(3)
 				case 2:
 					h.Zone = 1<<16 + rng.IntN(3)
 				case 3:
@@ -99,7 +99,7 @@
 					delete(want.hosts, id)
 				}
 			}
-			for id := rules.EndpointID(0); id < want.last+2; id++ {
+			for id := rules.EndpointID(0); id < want.lastID+2; id++ {
 				h := want.hosts[id]
 				h.Draining, h.Gone = false, false
 				got := d.host(id)
@@ -107,20 +107,20 @@
 				if got != h {
 					t.Fatalf("seed %d, step %d: host %d is %.60v, want %.60v", seed, step, id, got, h)
 				}
-				if n := d.id(h.Name); n != want.ids[h.Name] {
+				if n := d.idByName(h.Name); n != want.ids[h.Name] {
 					t.Fatalf("seed %d, step %d: %.30q has number %d, want %d", seed, step, h.Name, n, want.ids[h.Name])
 				}
 			}
 			for dest := -130; dest < 230; dest++ {
-				if d.knows(dest) != want.dests[dest] {
-					t.Fatalf("seed %d, step %d: destination %d is known: %v", seed, step, dest, d.knows(dest))
+				if d.knowsDest(dest) != want.dests[dest] {
+					t.Fatalf("seed %d, step %d: destination %d is known: %v", seed, step, dest, d.knowsDest(dest))
 				}
 			}
-			if odd := slices.DeleteFunc(slices.Clone(d.rows), func(r row) bool { return r.kind != oddKind }); len(odd) != len(d.odd) {
-				t.Fatalf("seed %d, step %d: %d hosts kept of %d that do not fit", seed, step, len(d.odd), len(odd))
+			if odd := slices.DeleteFunc(slices.Clone(d.rows), func(r row) bool { return r.kind != overflowKind }); len(odd) != len(d.overflow) {
+				t.Fatalf("seed %d, step %d: %d hosts kept of %d that do not fit", seed, step, len(d.overflow), len(odd))
 			}
-			if len(d.rows) > 2*len(want.hosts)+64 || d.text.size > 2*(d.text.size-d.text.dead)+chunk {
-				t.Fatalf("seed %d, step %d: %d rows for %d endpoints, %d bytes of text, %d of them dead", seed, step, len(d.rows), len(want.hosts), d.text.size, d.text.dead)
+			if len(d.rows) > 2*len(want.hosts)+64 || d.arena.size > 2*(d.arena.size-d.arena.deadBytes)+chunkSize {
+				t.Fatalf("seed %d, step %d: %d rows for %d endpoints, %d bytes of text, %d of them dead", seed, step, len(d.rows), len(want.hosts), d.arena.size, d.arena.deadBytes)
 			}
 		}
 	}
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,7 +1,7 @@
-// Package exchange is where the client side and the endpoint side meet. One goroutine owns the decision module,
-// the messages held and the ledger: it takes events, steps the module at most once a tick, and hands out what the
-// module wants done. It must never wait for a socket, and never decide what becomes of a message: that is the
-// module's, in package rules.
+// Package exchange connects the client side, which accepts messages, with the endpoint side, which delivers them. One
+// goroutine owns the decision module, the held messages and the ledger: it collects events, steps the module at most
+// once a tick, and carries out the actions that the module returns. It must never wait for a socket, and must never
+// decide what becomes of a message: that is up to the module, package rules.
 package exchange
 
 import (
@@ -14,70 +14,72 @@
 	"eiderhaven/rules"
 )
 
-// Verdict is what a client is told of a message.
+// Verdict is the answer to a client that submitted a message.
 type Verdict int
 
 // The verdicts.
 const (
-	Accepted  Verdict = iota // the sender owes it an end
-	Refused                  // handing it in again is harmless
-	Failed                   // given up at once, with no promise
-	Unknown                  // nobody has heard of its destination or class
-	Duplicate                // a message of that name is held
-	Stopped                  // the sender is at its end; as Refused
+	Accepted  Verdict = iota // the sender is now responsible for the message until it ends
+	Refused                  // not accepted; submitting it again is harmless
+	Failed                   // abandoned at once; it may or may not have run
+	Unknown                  // its class is not configured, or its destination was never listed
+	Duplicate                // a message with this ID is held or has ended recently
+	Stopped                  // the exchange has stopped; otherwise like Refused
 )
 
-// Answer is the verdict on a message, with the time after which to come back if it was refused.
+// Answer is the verdict on a message. If the message was refused, RetryAfter is how long the client should wait before
+// it submits the message again, or 0 if there is no advice.
 type Answer struct {
 	Verdict    Verdict
 	RetryAfter time.Duration
 }
 
-// Peer is an endpoint and where it is. A new endpoint may stand where another one was: it is another peer.
+// Peer is an endpoint's name and address. If another endpoint later uses the same address, it is a different peer.
 type Peer struct{ Name, Addr string }
 
-// Call is one call to an endpoint. The endpoint side does it and hands its result to Exchange.Finish.
+// Call is one call to an endpoint. The endpoint side makes it and passes its result to Exchange.Finish.
 type Call struct {
-	To      Peer
-	Items   []*message.Message
-	Timeout time.Duration // how long the sender will wait for it
-	WriteBy time.Time     // when its last byte must be written at the latest, or never; zero for whenever
-	flight  *flight
+	To       Peer
+	Items    []*message.Message
+	Timeout  time.Duration // how long the sender waits for the answer
+	WriteBy  time.Time     // the last byte must be written by then, or not at all; zero for no limit
+	inFlight *callInFlight
 }
 
 // Result is how a call ended.
 type Result struct {
-	Written bool // the last byte of the call was written, so it may have run unless the outcome denies it
+	Written bool // the last byte of the call was written, so it may have run unless the outcome rules that out
 	Items   []ItemResult
 }
 
-// ItemResult is how one message of a call fared.
+// ItemResult is how a call ended for one of its messages.
 type ItemResult struct {
 	Outcome                rules.Outcome
-	RetryAfter             time.Duration
-	NoFreeSlot             bool
-	ConnectionLimitReached bool // with ConnectError: the endpoint is there, and says that it holds all the connections it can
-	Recalled               bool // with NotSent
-	Finished               bool // the endpoint says that the message is over: nothing more is owed
+	RetryAfter             time.Duration // wait requested by the endpoint
+	NoFreeSlot             bool          // with NotSent: every slot was taken
+	ConnectionLimitReached bool          // with ConnectError: the endpoint is up, but holds all the connections it can
+	Recalled               bool          // with NotSent: the call was recalled
+	Finished               bool          // the endpoint reports that the message has already reached its end
 	Report                 rules.Report
 }
 
-// Handle lets a call be ended from this side.
+// Handle ends a call from the sender's side.
 type Handle interface {
-	// Cancel gives the call up, wherever it is. Its result is still handed in.
+	// Cancel abandons the call, whatever its progress. Its result is still passed to Exchange.Finish.
 	Cancel()
-	// Recall gives the call up unless its last byte is written or being written. True: it has not reached the endpoint and
-	// never will, and a result still handed in means nothing. False: it goes on.
+	// Recall withdraws the call unless its last byte has been written or is being written. If it returns true, the call
+	// has not reached the endpoint and never will, and a result that is still passed in is ignored. If it returns false,
+	// the call goes on.
 	Recall() bool
 }
 
-// Caller is the endpoint side. None of its methods may wait.
+// Caller is the endpoint side. None of its methods may block.
 type Caller interface {
 	Start(*Call) Handle
 	CloseIdle(Peer)
 }
 
-// Platform is the side that lists the endpoints and takes notices. None of its methods may wait.
+// Platform is the outside service that lists the endpoints and accepts notices. None of its methods may block.
 type Platform interface {
 	EnqueueNotice(ledger.Notice)
 	Watch()
@@ -87,68 +89,86 @@
 type Host struct {
 	Peer
 	Dest, Kind, Zone int
-	Rate             float64
+	Rate             float64 // listed rate, in calls per second
 	Draining, Gone   bool
 }
 
-// Listing is the registry's list, whole or as changes. Once it was handed in, nobody changes it: several read it.
+// Listing is the registry's list: the whole list or changes to it. It must not be modified after it was passed to the
+// exchange, because several goroutines read it.
 type Listing struct {
 	Whole bool
 	Hosts []Host
 }
 
-// Config is what an exchange starts from.
+// Config is what an exchange starts with.
 type Config struct {
 	Settings       *rules.Settings
-	Classes        []string // names, in the order of the settings
-	Tenants        []string // likewise
-	InitialListing Listing  // as this sender last held it
+	Classes        []string // class names, in the order of the settings
+	Tenants        []string // tenant names, in the order of the settings
+	InitialListing Listing  // the list as an earlier process of this sender kept it
 	Ledger         *ledger.Ledger
 	Caller         Caller
 	Platform       Platform
 	Log            *slog.Logger
 }
 
-// clockStart is the module's time at the start of the process, so that what an earlier process did lies after 0.
+// clockStart is the module's time when the process starts. It is not 0, so that what an earlier process did lies at
+// positive times.
 const clockStart = 24 * time.Hour
 
-// Exchange is a running exchange.
+// taskQueueSize is how many tasks can wait for the goroutine of Run before post blocks.
+const taskQueueSize = 1024
+
+// Exchange runs the decision module between the client side and the endpoint side.
 type Exchange struct {
-	cfg     Config
-	in      chan func()
-	halt    chan struct{} // closed to end Run
-	done    chan struct{} // closed when Run has ended
-	started time.Time
-	classes map[string]int
-	tenants map[string]int
-
-	sender   *rules.Sender
-	held     map[string]*held
-	flights  []*flight // out, oldest first
-	dir      *directory
-	past     past
-	events   []rules.Event
-	fresh    []*held // taken in since the last step, not answered yet
-	wakeAt   time.Duration
-	since    time.Duration // when the oldest event not stepped yet was seen, negative if none waits
-	lastStep time.Duration
-	counts   Counts
-	stopping bool // in the last step
-}
-
-// held is a message between its taking and its end.
-type held struct {
-	msg      *message.Message
-	attempts int
-	mayRunAt time.Time   // when an earlier process made the attempt that may have run, if one did
-	reply    chan Answer // nil once answered
-}
-
-// New returns an exchange that has not started. It hands the module the known list and what the ledger owes.
+	cfg       Config
+	tasks     chan func()
+	stop      chan struct{} // closed to end Run
+	done      chan struct{} // closed when Run has ended
+	startedAt time.Time
+	classes   map[string]int // index in the settings, by name
+	tenants   map[string]int // index in the settings, by name
+
+	sender        *rules.Sender
+	held          map[string]*heldMessage // by ID
+	callsInFlight []*callInFlight         // oldest first
+	directory     *directory
+	recentIDs     recentIDs
+	events        []rules.Event  // for the next step
+	unanswered    []*heldMessage // accepted since the last step, their clients not answered yet
+	wakeAt        time.Duration  // when the module wants to be woken, negative for not at all
+	firstEventAt  time.Duration  // when the oldest of events was noticed, negative if there are none
+	lastStep      time.Duration
+	counts        Counts
+	stopping      bool // the last step is under way
+}
+
+// heldMessage is a message between its acceptance and its end.
+type heldMessage struct {
+	message      *message.Message
+	attempts     int
+	mayHaveRunAt time.Time   // when an earlier process made the attempt that may have run, if there was one
+	reply        chan Answer // nil once answered
+}
+
+// New returns an exchange that has not started. Call Recover before Run.
 func New(cfg Config) *Exchange {
-	x := &Exchange{cfg: cfg, in: make(chan func(), 1024), halt: make(chan struct{}), done: make(chan struct{}),
-		started: time.Now(), classes: map[string]int{}, tenants: map[string]int{}, sender: rules.New(*cfg.Settings), held: map[string]*held{},
-		dir: newDirectory(), counts: Counts{Ended: map[rules.EndReason]int{}}, past: newPast(cfg.Settings.Classes), wakeAt: -1, since: -1}
+	x := &Exchange{
+		cfg:          cfg,
+		tasks:        make(chan func(), taskQueueSize),
+		stop:         make(chan struct{}),
+		done:         make(chan struct{}),
+		startedAt:    time.Now(),
+		classes:      map[string]int{},
+		tenants:      map[string]int{},
+		sender:       rules.New(*cfg.Settings),
+		held:         map[string]*heldMessage{},
+		directory:    newDirectory(),
+		counts:       Counts{Ended: map[rules.EndReason]int{}},
+		recentIDs:    newRecentIDs(cfg.Settings.Classes),
+		wakeAt:       -1,
+		firstEventAt: -1,
+	}
 	for i, name := range cfg.Classes {
 		x.classes[name] = i
 	}
@@ -158,82 +178,91 @@
 	return x
 }
 
-// Recover tells the module of the known list, of any that has come since, and of what an earlier process left owed.
-// Call it once, before Run.
+// Recover passes the module the initial list, any list that has come since, and the unfinished messages and outages
+// that an earlier process recorded. Call it once, before Run.
 func (x *Exchange) Recover() {
-	x.listed(x.cfg.InitialListing)
-	x.cfg.InitialListing = Listing{} // the directory has it
-	x.drain()
+	x.applyListing(x.cfg.InitialListing)
+	x.cfg.InitialListing = Listing{} // free the memory: the directory has its own copy
+	x.runQueuedTasks()
 	for _, o := range x.cfg.Ledger.Outages() {
-		if id := x.dir.id(o.Host); id != 0 {
+		if id := x.directory.idByName(o.Host); id != 0 {
 			x.events = append(x.events, rules.RememberedOutage{Endpoint: id, Age: time.Since(o.At), Rate: o.Rate})
 		} else {
-			x.record(x.cfg.Ledger.RecordOutageEnd(o.Host)) // it is listed no more
+			x.countRecordError(x.cfg.Ledger.RecordOutageEnd(o.Host)) // no longer listed
 		}
 	}
 	for _, n := range x.cfg.Ledger.Notices() {
 		x.cfg.Platform.EnqueueNotice(n)
 	}
-	owed := x.cfg.Ledger.Pending()
-	for _, o := range owed {
-		x.restore(o)
+	pending := x.cfg.Ledger.Pending()
+	for _, p := range pending {
+		x.restore(p)
 	}
-	if len(owed) > 0 {
-		x.cfg.Log.Info("recovered", "owed", len(owed))
+	if len(pending) > 0 {
+		x.cfg.Log.Info("recovered", "owed", len(pending))
 	}
 	x.step()
 }
 
-// restore hands the module a message that an earlier process had taken.
-func (x *Exchange) restore(o ledger.PendingMessage) {
+// restore passes the module a message that an earlier process had accepted.
+func (x *Exchange) restore(p ledger.PendingMessage) {
 	x.counts.Recovered++
-	m := o.Message
-	h := &held{msg: m, attempts: o.Attempts}
+	m := p.Message
+	h := &heldMessage{message: m, attempts: p.Attempts}
 	x.held[m.ID] = h
 	class, known := x.classes[m.Class]
 	if !known {
-		x.cfg.Log.Warn("a message of a class that is no longer known is given up", "class", m.Class)
+		x.cfg.Log.Warn("recovered message failed: its class is no longer configured", "class", m.Class)
 		x.fail(h)
 		return
 	}
-	before := rules.PriorAttempts{Count: o.Attempts, Failed: o.FailedAttempts, MayHaveRun: o.MayHaveRun}
-	if o.MayHaveRun {
-		h.mayRunAt, before.Endpoint = o.MayHaveRunAt, x.dir.id(o.MayHaveRunHost)
+	prior := rules.PriorAttempts{Count: p.Attempts, Failed: p.FailedAttempts, MayHaveRun: p.MayHaveRun}
+	if p.MayHaveRun {
+		h.mayHaveRunAt = p.MayHaveRunAt
+		prior.Endpoint = x.directory.idByName(p.MayHaveRunHost)
 	}
-	x.events = append(x.events, rules.Arrived{ID: rules.MessageID(m.ID), Destination: m.Dest, Class: class,
-		Tenant: x.tenant(m.Tenant), Prior: before})
+	x.events = append(x.events, rules.Arrived{
+		ID:          rules.MessageID(m.ID),
+		Destination: m.Dest,
+		Class:       class,
+		Tenant:      x.tenantIndex(m.Tenant),
+		Prior:       prior,
+	})
 }
 
-// tenant is the module's number for a tenant: beyond all of them for a message that names none of the settings', which has no
-// part in anybody's share.
-func (x *Exchange) tenant(name string) int {
+// tenantIndex returns the module's index of a tenant. A message whose tenant is not configured gets the index after the
+// last one, so that it does not count towards any tenant's quota.
+func (x *Exchange) tenantIndex(name string) int {
 	if i, known := x.tenants[name]; known {
 		return i
 	}
 	return len(x.cfg.Tenants)
 }
 
-// now is the module's clock.
-func (x *Exchange) now() time.Duration { return clockStart + time.Since(x.started) }
+// now returns the module's time.
+func (x *Exchange) now() time.Duration { return clockStart + time.Since(x.startedAt) }
+
+// wallTime converts a time of the module's clock to this machine's clock.
+func (x *Exchange) wallTime(at time.Duration) time.Time { return x.startedAt.Add(at - clockStart) }
 
-// clock is a time of the module's on this machine's clock, and moment the other way round.
-func (x *Exchange) clock(at time.Duration) time.Time  { return x.started.Add(at - clockStart) }
-func (x *Exchange) moment(at time.Time) time.Duration { return clockStart + at.Sub(x.started) }
+// moduleTime converts a time of this machine's clock to the module's clock.
+func (x *Exchange) moduleTime(at time.Time) time.Duration { return clockStart + at.Sub(x.startedAt) }
 
-// post hands the exchange something to do; it is false if the exchange has ended.
-func (x *Exchange) post(f func()) bool {
+// post queues a task for the goroutine of Run. It returns false if the exchange has stopped.
+func (x *Exchange) post(task func()) bool {
 	select {
-	case x.in <- f:
+	case x.tasks <- task:
 		return true
 	case <-x.done:
 		return false
 	}
 }
 
-// Submit hands in a message. The answer comes after the step that takes it in, which is within two ticks.
+// Submit submits a message and waits for the answer. It comes after the step that handles the message, which is within
+// two ticks.
 func (x *Exchange) Submit(m *message.Message) Answer {
 	reply := make(chan Answer, 1)
-	if !x.post(func() { x.take(m, reply) }) {
+	if !x.post(func() { x.accept(m, reply) }) {
 		return Answer{Verdict: Stopped}
 	}
 	select {
@@ -249,39 +278,40 @@
 	}
 }
 
-// Withdraw tells that the client of a message has gone before it heard that the message was taken on.
+// Withdraw ends a message whose client disconnected before it was told that the message was accepted.
 func (x *Exchange) Withdraw(id string) {
 	x.post(func() {
 		if h := x.held[id]; h != nil {
 			x.counts.Withdrawn++
-			x.over(h)
-			x.recall(carries(h.msg)) // nothing may reach an endpoint from now on
+			x.finish(h)
+			x.recallCall(hasMessage(h.message)) // nothing may reach an endpoint from now on
 			x.events = append(x.events, rules.Withdrawn{ID: rules.MessageID(id)})
 		}
 	})
 }
 
-// Finish hands in the result of a call.
-func (x *Exchange) Finish(c *Call, r Result) { x.post(func() { x.finished(c.flight, r) }) }
+// Finish reports the result of a call.
+func (x *Exchange) Finish(c *Call, r Result) { x.post(func() { x.onCallFinished(c.inFlight, r) }) }
 
-// List hands in what the registry told.
-func (x *Exchange) ApplyListing(l Listing) { x.post(func() { x.listed(l) }) }
+// ApplyListing passes on a list, or changes to it, from the registry.
+func (x *Exchange) ApplyListing(l Listing) { x.post(func() { x.applyListing(l) }) }
 
-// listed takes in a list. Idle connections to endpoints that it has lost are closed.
-func (x *Exchange) listed(l Listing) {
-	e, left := x.dir.update(l)
-	x.events = append(x.events, e)
-	for _, p := range left {
+// applyListing updates the directory and closes idle connections to endpoints that left the list or moved.
+func (x *Exchange) applyListing(l Listing) {
+	update, unreachable := x.directory.update(l)
+	x.events = append(x.events, update)
+	for _, p := range unreachable {
 		x.cfg.Caller.CloseIdle(p)
 	}
 }
 
-// ListFailed tells that the registry could not be heard.
+// ListFailed reports that the registry could not reach discovery.
 func (x *Exchange) ListFailed() {
 	x.post(func() { x.events = append(x.events, rules.DiscoveryFailed{}) })
 }
 
-// SetAside asks for room in the ledger's folder for the list of endpoints, see [ledger.Ledger.SetAside]. It waits for the answer.
+// ReserveListSpace asks the ledger to reserve space in the state directory for the list of endpoints, and waits for the
+// answer. See [ledger.Ledger.ReserveListSpace].
 func (x *Exchange) ReserveListSpace(bytes int64) bool {
 	reply := make(chan bool, 1)
 	if !x.post(func() { reply <- x.cfg.Ledger.ReserveListSpace(bytes) }) {
@@ -295,83 +325,84 @@
 	}
 }
 
-// Ending tells that Stop will be called after this time.
+// AnnounceShutdown tells the module that Stop will be called after this time.
 func (x *Exchange) AnnounceShutdown(after time.Duration) {
 	x.post(func() { x.events = append(x.events, rules.ShuttingDown{After: after}) })
 }
 
-// Noticed tells that the platform has accepted the notices of these messages.
+// NoticesAccepted reports that the platform has accepted the notices of these messages.
 func (x *Exchange) NoticesAccepted(ids []string) {
 	x.post(func() {
 		x.counts.NoticesAccepted += len(ids)
-		x.record(x.cfg.Ledger.RecordEnd(ids...))
+		x.countRecordError(x.cfg.Ledger.RecordEnd(ids...))
 	})
 }
 
-// Run steps the module until Stop. What is held then stays in the ledger.
+// Run steps the module until Stop is called. Messages that are still held then stay in the ledger.
 func (x *Exchange) Run() {
 	defer close(x.done)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
-		case f := <-x.in:
-			f()
+		case task := <-x.tasks:
+			task()
 		case <-timer.C:
-		case <-x.halt:
-			x.drain()
+		case <-x.stop:
+			x.runQueuedTasks()
 			x.stopping = true
 			x.step()
 			x.recallAll()
 			return
 		}
-		x.drain()
-		timer.Reset(x.advance())
+		x.runQueuedTasks()
+		timer.Reset(x.stepIfDue())
 	}
 }
 
-// Stop ends Run after one last step and waits for it.
+// Stop ends Run after one last step and waits for it to return.
 func (x *Exchange) Stop() {
-	close(x.halt)
+	close(x.stop)
 	<-x.done
 }
 
-// recallAll calls back, at the end, what no endpoint has got whole yet: the ledger then says that it has not run, and the next
-// process tries it again.
+// recallAll recalls, at shutdown, every call that is not fully written. The ledger then shows that its messages have
+// not run in this attempt, and the next process tries them again.
 func (x *Exchange) recallAll() {
-	for _, f := range slices.Clone(x.flights) {
-		x.callBack(f)
+	for _, call := range slices.Clone(x.callsInFlight) {
+		x.tryRecall(call)
 	}
 }
 
-// drain takes in all that has come by now. What comes meanwhile waits for the next time, so that no flood keeps the
-// module from its step.
-func (x *Exchange) drain() {
-	for range len(x.in) {
-		(<-x.in)()
+// runQueuedTasks runs the tasks that are queued by now. Tasks that are queued meanwhile wait for the next time, so that
+// a flood of tasks cannot keep the module from its step.
+func (x *Exchange) runQueuedTasks() {
+	for range len(x.tasks) {
+		(<-x.tasks)()
 	}
 }
 
-// advance steps if there is anything to do and its tick is over, and returns when to look again. What comes within
-// one tick is told at once, so that messages handed in together can share a call.
-func (x *Exchange) advance() time.Duration {
+// stepIfDue steps the module if there is something to do and the tick is over. It returns how long to sleep until the
+// next check. Events of one tick are passed to the module together, so that messages submitted together can share a
+// call.
+func (x *Exchange) stepIfDue() time.Duration {
 	now := x.now()
-	if due := x.nextStep(now); due < 0 || now < due {
-		return untilStep(now, due)
+	if due := x.nextStepAt(now); due < 0 || now < due {
+		return sleepUntilStep(now, due)
 	}
 	x.step()
-	return untilStep(x.now(), x.nextStep(now))
+	return sleepUntilStep(x.now(), x.nextStepAt(now))
 }
 
-// nextStep is when to step next, negative if nothing is to come.
-func (x *Exchange) nextStep(now time.Duration) time.Duration {
+// nextStepAt returns when the next step is due, or a negative time if there is nothing to do.
+func (x *Exchange) nextStepAt(now time.Duration) time.Duration {
 	tick := x.cfg.Settings.Tick
-	due := x.nextDue()
+	due := x.nextTimer()
 	if len(x.events) > 0 {
-		if x.since < 0 {
-			x.since = now
+		if x.firstEventAt < 0 {
+			x.firstEventAt = now
 		}
-		if at := x.since.Truncate(tick) + tick; due < 0 || at < due {
+		if at := x.firstEventAt.Truncate(tick) + tick; due < 0 || at < due {
 			due = at
 		}
 	}
@@ -381,8 +412,8 @@
 	return max(due, x.lastStep+tick)
 }
 
-// untilStep is how long to sleep before a step.
-func untilStep(now, due time.Duration) time.Duration {
+// sleepUntilStep returns how long to sleep before a step that is due at this time.
+func sleepUntilStep(now, due time.Duration) time.Duration {
 	const idle = time.Minute
 	if due < 0 {
 		return idle
@@ -390,12 +421,12 @@
 	return max(min(due-now, idle), 0)
 }
 
-// nextDue is the earliest wake-up or time-out, negative if there is none.
-func (x *Exchange) nextDue() time.Duration {
+// nextTimer returns the earliest wake-up or call timeout, or a negative time if there is none.
+func (x *Exchange) nextTimer() time.Duration {
 	due := x.wakeAt
-	for _, f := range x.flights {
-		if !f.quit && (due < 0 || f.due < due) {
-			due = f.due
+	for _, call := range x.callsInFlight {
+		if !call.abandoned && (due < 0 || call.timeoutAt < due) {
+			due = call.timeoutAt
 		}
 	}
 	return due
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -19,7 +19,7 @@
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
 
 // endpoints is the endpoint side as a script: it keeps what is started and lets the test end it.
-type endpoints struct {
+type endpointSide struct {
 	started   chan *Call
 	cancelled chan *Call
 	recalled  chan *Call
@@ -29,19 +29,19 @@
 }
 
 type handle struct {
-	c    *Call
-	side *endpoints
+	call *Call
+	side *endpointSide
 }
 
-func (h handle) Cancel() { h.side.cancelled <- h.c }
+func (h handle) Cancel() { h.side.cancelled <- h.call }
 
 // Recall calls back what onRecall allows, all if there is none.
 func (h handle) Recall() bool {
-	h.side.recalled <- h.c
-	return h.side.onRecall == nil || h.side.onRecall(h.c)
+	h.side.recalled <- h.call
+	return h.side.onRecall == nil || h.side.onRecall(h.call)
 }
 
-func (e *endpoints) Start(c *Call) Handle {
+func (e *endpointSide) Start(c *Call) Handle {
 	if e.onStart != nil {
 		e.onStart(c)
 	}
@@ -49,23 +49,23 @@
 	return handle{c, e}
 }
 
-func (e *endpoints) CloseIdle(to Peer) { e.closed <- to }
+func (e *endpointSide) CloseIdle(to Peer) { e.closed <- to }
 
 // notices keeps what the platform is told.
-type notices struct{ told chan ledger.Notice }
+type notices struct{ enqueued chan ledger.Notice }
 
-func (n *notices) EnqueueNotice(one ledger.Notice) { n.told <- one }
+func (n *notices) EnqueueNotice(one ledger.Notice) { n.enqueued <- one }
 func (n *notices) Watch()                          {}
 
 // world is an exchange with scripted surroundings.
-type world struct {
+type harness struct {
 	*Exchange
-	t     *testing.T
-	dir   string
-	led   *ledger.Ledger
-	ends  *endpoints
-	plat  *notices
-	ended bool
+	t         *testing.T
+	dir       string
+	ledger    *ledger.Ledger
+	endpoints *endpointSide
+	platform  *notices
+	stopped   bool
 }
 
 func testSettings() *rules.Settings {
@@ -82,13 +82,13 @@
 	}
 }
 
-var known = Listing{Whole: true, Hosts: []Host{
+var knownEndpoints = Listing{Whole: true, Hosts: []Host{
 	{Peer: Peer{"s-1", "127.0.0.1:1001"}, Dest: 1},
 	{Peer: Peer{"s-2", "127.0.0.1:1002"}, Dest: 2, Kind: 1},
 }}
 
 // newWorld starts an exchange on a folder.
-func newWorld(t *testing.T, dir string, change func(*rules.Settings)) *world {
+func newHarness(t *testing.T, dir string, change func(*rules.Settings)) *harness {
 	t.Helper()
 	set := testSettings()
 	if change != nil {
@@ -98,48 +98,48 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{t: t, dir: dir, led: led,
-		ends: &endpoints{started: make(chan *Call, 200), cancelled: make(chan *Call, 200),
+	w := &harness{t: t, dir: dir, ledger: led,
+		endpoints: &endpointSide{started: make(chan *Call, 200), cancelled: make(chan *Call, 200),
 			recalled: make(chan *Call, 200), closed: make(chan Peer, 200)},
-		plat: &notices{make(chan ledger.Notice, 200)}}
-	w.Exchange = New(Config{Settings: set, Classes: []string{"stock", "payment"}, InitialListing: known, Ledger: led,
-		Caller: w.ends, Platform: w.plat, Log: quiet})
+		platform: &notices{make(chan ledger.Notice, 200)}}
+	w.Exchange = New(Config{Settings: set, Classes: []string{"stock", "payment"}, InitialListing: knownEndpoints, Ledger: led,
+		Caller: w.endpoints, Platform: w.platform, Log: quiet})
 	return w
 }
 
-func (w *world) start() *world {
+func (w *harness) start() *harness {
 	w.Recover()
 	go w.Run()
-	w.t.Cleanup(w.end)
+	w.t.Cleanup(w.stopAndClose)
 	return w
 }
 
 // end stops the exchange as a planned exit does.
-func (w *world) end() {
-	if !w.ended {
-		w.ended = true
+func (w *harness) stopAndClose() {
+	if !w.stopped {
+		w.stopped = true
 		w.Stop()
-		w.led.Close()
+		w.ledger.Close()
 	}
 }
 
-func begin(t *testing.T, change func(*rules.Settings)) *world {
-	return newWorld(t, t.TempDir(), change).start()
+func startHarness(t *testing.T, change func(*rules.Settings)) *harness {
+	return newHarness(t, t.TempDir(), change).start()
 }
 
-func msg(id, class string, dest int) *message.Message {
+func newMessage(id, class string, dest int) *message.Message {
 	return &message.Message{ID: id, Class: class, Dest: dest, Deadline: time.Now().Add(16 * time.Second), Body: []byte("hi")}
 }
 
 // take hands in a message that must be taken on.
-func (w *world) take(m *message.Message) {
+func (w *harness) mustAccept(m *message.Message) {
 	w.t.Helper()
 	if a := w.Submit(m); a.Verdict != Accepted {
 		w.t.Fatalf("message %s: verdict %v, want taken", m.ID, a.Verdict)
 	}
 }
 
-func (w *world) finish(c *Call, o rules.Outcome) {
+func (w *harness) finishCall(c *Call, o rules.Outcome) {
 	items := make([]ItemResult, len(c.Items))
 	for i := range items {
 		items[i].Outcome = o
@@ -148,18 +148,18 @@
 }
 
 // settled waits until the counters say so, and checks their sums.
-func (w *world) settled(what string, done func(Counts) bool) Counts {
+func (w *harness) waitForCounts(what string, done func(Counts) bool) Counts {
 	w.t.Helper()
 	var c Counts
 	testkit.Eventually(w.t, what, func() bool {
 		c = w.Counts()
-		w.addUp(c)
+		w.checkSums(c)
 		return done(c)
 	})
 	return c
 }
 
-func (w *world) addUp(c Counts) {
+func (w *harness) checkSums(c Counts) {
 	w.t.Helper()
 	fresh := c.Submitted - (c.Unknown + c.Duplicate + c.Refused + c.Failed + c.Accepted) // being taken in just now
 	if fresh < 0 || c.Accepted+c.Recovered+fresh != c.Delivered+c.Bounced+c.Dead+c.Withdrawn+c.FinishedElsewhere+c.Held {
@@ -175,7 +175,7 @@
 }
 
 // owed is what another process would find in the folder now.
-func (w *world) owed() []ledger.PendingMessage {
+func (w *harness) pendingOnDisk() []ledger.PendingMessage {
 	w.t.Helper()
 	l, err := ledger.Open(w.dir, 2<<20, quiet)
 	if err != nil {
@@ -187,21 +187,21 @@
 
 // The record stands before the client hears 202 and before a call starts, which is recorded first too.
 func TestRecordsComeFirst(t *testing.T) {
-	w := newWorld(t, t.TempDir(), nil)
+	w := newHarness(t, t.TempDir(), nil)
 	var atStart []ledger.PendingMessage
-	w.ends.onStart = func(*Call) { atStart = w.owed() }
+	w.endpoints.onStart = func(*Call) { atStart = w.pendingOnDisk() }
 	w.start()
-	w.take(msg("a", "stock", 1))
-	c := testkit.Receive(t, w.ends.started, "call")
+	w.mustAccept(newMessage("a", "stock", 1))
+	c := testkit.Receive(t, w.endpoints.started, "call")
 	if c.To.Addr != "127.0.0.1:1001" || len(c.Items) != 1 || c.Items[0].ID != "a" {
 		t.Errorf("call: %+v", c)
 	}
 	if len(atStart) != 1 || !atStart[0].MayHaveRun || atStart[0].MayHaveRunHost != "s-1" || atStart[0].Attempts != 1 {
 		t.Errorf("in the folder as the call starts: %+v", atStart)
 	}
-	w.finish(c, rules.OK)
-	w.settled("delivered", func(c Counts) bool { return c.Delivered == 1 && c.Held == 0 })
-	if got := w.owed(); len(got) != 0 {
+	w.finishCall(c, rules.OK)
+	w.waitForCounts("delivered", func(c Counts) bool { return c.Delivered == 1 && c.Held == 0 })
+	if got := w.pendingOnDisk(); len(got) != 0 {
 		t.Errorf("owed after the delivery: %+v", got)
 	}
 }
@@ -209,10 +209,10 @@
 // What the module refuses in the step that took it in is refused in the answer, with when to come back, and
 // nothing is owed.
 func TestRefusedAtOnce(t *testing.T) {
-	w := begin(t, func(s *rules.Settings) { s.MaxHeld, s.Slots = 8, 20 })
+	w := startHarness(t, func(s *rules.Settings) { s.MaxHeld, s.Slots = 8, 20 })
 	refused := 0
 	for i := range 30 { // all for one destination, none answered: what is out fills the room
-		a := w.Submit(msg(fmt.Sprint("m", i), "stock", 1))
+		a := w.Submit(newMessage(fmt.Sprint("m", i), "stock", 1))
 		if a.Verdict != Refused {
 			continue
 		}
@@ -222,30 +222,30 @@
 		}
 	}
 	c := w.Counts()
-	w.addUp(c)
-	if bounced := len(w.plat.told); refused == 0 || refused+bounced != 30-c.Held || refused != c.Refused || bounced != c.Bounced {
+	w.checkSums(c)
+	if bounced := len(w.platform.enqueued); refused == 0 || refused+bounced != 30-c.Held || refused != c.Refused || bounced != c.Bounced {
 		t.Errorf("%d refused, %d bounced of 30: %+v", refused, bounced, c)
 	}
-	if got := len(w.owed()); got != c.Held {
+	if got := len(w.pendingOnDisk()); got != c.Held {
 		t.Errorf("%d owed, %d held", got, c.Held)
 	}
 }
 
 func TestLaterEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := begin(t, nil)
-		w.take(msg("p", "payment", 1))
-		w.finish(testkit.Receive(t, w.ends.started, "call"), rules.Reset) // it may have run, and must not be sent again
-		if n := testkit.Receive(t, w.plat.told, "notice"); n.ID != "p" || !n.Dead {
+		w := startHarness(t, nil)
+		w.mustAccept(newMessage("p", "payment", 1))
+		w.finishCall(testkit.Receive(t, w.endpoints.started, "call"), rules.Reset) // it may have run, and must not be sent again
+		if n := testkit.Receive(t, w.platform.enqueued, "notice"); n.ID != "p" || !n.Dead {
 			t.Errorf("notice: %+v, want p dead", n)
 		}
-		late := msg("s", "stock", 1)
+		late := newMessage("s", "stock", 1)
 		late.Deadline = time.Now().Add(100 * time.Millisecond)
-		w.take(late)
-		if n := testkit.Receive(t, w.plat.told, "notice"); n.ID != "s" || n.Dead || n.RetryAfter <= 0 {
+		w.mustAccept(late)
+		if n := testkit.Receive(t, w.platform.enqueued, "notice"); n.ID != "s" || n.Dead || n.RetryAfter <= 0 {
 			t.Errorf("notice: %+v, want s bounced with a wait", n)
 		}
-		c := w.settled("both over", func(c Counts) bool { return c.Held == 0 })
+		c := w.waitForCounts("both over", func(c Counts) bool { return c.Held == 0 })
 		if c.Bounced != 1 || c.Dead != 1 {
 			t.Errorf("counters: %+v", c)
 		}
@@ -261,16 +261,16 @@
 }
 
 func TestNoticesEndWhenAccepted(t *testing.T) {
-	w := begin(t, nil)
-	w.take(msg("p", "payment", 1))
-	w.finish(testkit.Receive(t, w.ends.started, "call"), rules.Reset)
-	testkit.Receive(t, w.plat.told, "notice")
+	w := startHarness(t, nil)
+	w.mustAccept(newMessage("p", "payment", 1))
+	w.finishCall(testkit.Receive(t, w.endpoints.started, "call"), rules.Reset)
+	testkit.Receive(t, w.platform.enqueued, "notice")
 	w.NoticesAccepted([]string{"p"})
-	w.settled("noticed", func(c Counts) bool { return c.NoticesAccepted == 1 })
-	w.end()
-	w2 := newWorld(t, w.dir, nil).start()
-	w2.settled("recovered", func(c Counts) bool { return c.Recovered == 0 })
-	if n := len(w2.plat.told); n != 0 {
+	w.waitForCounts("noticed", func(c Counts) bool { return c.NoticesAccepted == 1 })
+	w.stopAndClose()
+	w2 := newHarness(t, w.dir, nil).start()
+	w2.waitForCounts("recovered", func(c Counts) bool { return c.Recovered == 0 })
+	if n := len(w2.platform.enqueued); n != 0 {
 		t.Errorf("%d notices after the restart, want none", n)
 	}
 }
@@ -282,10 +282,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	late := msg("late", "stock", 1)
+	late := newMessage("late", "stock", 1)
 	late.Deadline = time.Now().Add(-time.Second)
-	old := msg("old", "no such class", 1)
-	for _, m := range []*message.Message{msg("once-ran", "payment", 1), msg("once-refused", "payment", 1), msg("safe-out", "stock", 1),
+	old := newMessage("old", "no such class", 1)
+	for _, m := range []*message.Message{newMessage("once-ran", "payment", 1), newMessage("once-refused", "payment", 1), newMessage("safe-out", "stock", 1),
 		late, old} {
 		if err := led.RecordAccepted(m); err != nil {
 			t.Fatal(err)
@@ -304,10 +304,10 @@
 	}
 	led.Close()
 
-	w := newWorld(t, dir, nil).start()
+	w := newHarness(t, dir, nil).start()
 	told := map[string]bool{}
 	for range 4 {
-		n := testkit.Receive(t, w.plat.told, "notice")
+		n := testkit.Receive(t, w.platform.enqueued, "notice")
 		told[n.ID] = n.Dead
 	}
 	if dead, ok := told["once-ran"]; !ok || !dead {
@@ -324,14 +324,14 @@
 	}
 	sent := map[string]bool{}
 	for range 2 {
-		c := testkit.Receive(t, w.ends.started, "call")
+		c := testkit.Receive(t, w.endpoints.started, "call")
 		sent[c.Items[0].ID] = true
-		w.finish(c, rules.OK)
+		w.finishCall(c, rules.OK)
 	}
 	if !sent["once-refused"] || !sent["safe-out"] {
 		t.Errorf("sent after the restart: %v", sent)
 	}
-	c := w.settled("all over", func(c Counts) bool { return c.Held == 0 })
+	c := w.waitForCounts("all over", func(c Counts) bool { return c.Held == 0 })
 	if c.Recovered != 5 || c.Delivered != 2 {
 		t.Errorf("counters: %+v", c)
 	}
@@ -339,15 +339,15 @@
 
 // A planned exit starts nothing in its last step and answers whoever waits; all it holds is found again.
 func TestStopKeepsWhatIsHeld(t *testing.T) {
-	w := begin(t, func(s *rules.Settings) { s.Slots = 1 })
-	w.take(msg("a", "stock", 1))
-	testkit.Receive(t, w.ends.started, "call")
-	w.take(msg("b", "stock", 1))
+	w := startHarness(t, func(s *rules.Settings) { s.Slots = 1 })
+	w.mustAccept(newMessage("a", "stock", 1))
+	testkit.Receive(t, w.endpoints.started, "call")
+	w.mustAccept(newMessage("b", "stock", 1))
 	answers := make(chan Answer, 1)
-	go func() { answers <- w.Submit(msg("c", "stock", 1)) }()
-	w.end()
+	go func() { answers <- w.Submit(newMessage("c", "stock", 1)) }()
+	w.stopAndClose()
 	a := testkit.Receive(t, answers, "answer")
-	if n := len(w.ends.started); n != 0 {
+	if n := len(w.endpoints.started); n != 0 {
 		t.Errorf("%d calls started at the end", n)
 	}
 	want := 2
@@ -356,10 +356,10 @@
 	} else if a.Verdict != Stopped {
 		t.Errorf("verdict %v at the end", a.Verdict)
 	}
-	if got := w.owed(); len(got) != want {
+	if got := w.pendingOnDisk(); len(got) != want {
 		t.Errorf("%d owed after the exit, want %d", len(got), want)
 	}
-	if a := w.Submit(msg("d", "stock", 1)); a.Verdict != Stopped {
+	if a := w.Submit(newMessage("d", "stock", 1)); a.Verdict != Stopped {
 		t.Errorf("after the exit: verdict %v", a.Verdict)
 	}
 }
@@ -368,60 +368,60 @@
 // whatever its class. One that is written may have run.
 func TestStopCallsBackWhatIsNotWritten(t *testing.T) {
 	for _, written := range []bool{false, true} {
-		w := begin(t, nil)
-		w.ends.onRecall = func(*Call) bool { return !written }
-		w.take(msg("a", "payment", 1))
-		c := testkit.Receive(t, w.ends.started, "call")
-		w.end()
-		if got := testkit.Receive(t, w.ends.recalled, "call back"); got != c {
+		w := startHarness(t, nil)
+		w.endpoints.onRecall = func(*Call) bool { return !written }
+		w.mustAccept(newMessage("a", "payment", 1))
+		c := testkit.Receive(t, w.endpoints.started, "call")
+		w.stopAndClose()
+		if got := testkit.Receive(t, w.endpoints.recalled, "call back"); got != c {
 			t.Errorf("written %v: called back %+v, want %+v", written, got, c)
 		}
-		if owed := w.owed(); len(owed) != 1 || owed[0].MayHaveRun != written {
+		if owed := w.pendingOnDisk(); len(owed) != 1 || owed[0].MayHaveRun != written {
 			t.Errorf("written %v: the next process finds %+v", written, owed)
 		}
 	}
 }
 
 func TestWithdrawn(t *testing.T) {
-	w := begin(t, nil)
-	w.take(msg("a", "stock", 1))
-	c := testkit.Receive(t, w.ends.started, "call")
+	w := startHarness(t, nil)
+	w.mustAccept(newMessage("a", "stock", 1))
+	c := testkit.Receive(t, w.endpoints.started, "call")
 	w.Withdraw("a")
 	w.Withdraw("a")
 	w.Withdraw("never heard of")
-	w.finish(c, rules.Errored)
-	got := w.settled("over", func(c Counts) bool { return c.Held == 0 && c.InFlight == 0 })
+	w.finishCall(c, rules.Errored)
+	got := w.waitForCounts("over", func(c Counts) bool { return c.Held == 0 && c.InFlight == 0 })
 	if got.Withdrawn != 1 || got.Attempts != 1 {
 		t.Errorf("counters: %+v", got)
 	}
-	if n := len(w.plat.told); n != 0 {
+	if n := len(w.platform.enqueued); n != 0 {
 		t.Errorf("%d notices for a withdrawn message", n)
 	}
-	if got := w.owed(); len(got) != 0 {
+	if got := w.pendingOnDisk(); len(got) != 0 {
 		t.Errorf("owed: %+v", got)
 	}
 }
 
 func TestUnknownAndDuplicate(t *testing.T) {
-	w := begin(t, nil)
-	for _, m := range []*message.Message{msg("a", "no such class", 1), msg("a", "stock", 3)} {
+	w := startHarness(t, nil)
+	for _, m := range []*message.Message{newMessage("a", "no such class", 1), newMessage("a", "stock", 3)} {
 		if a := w.Submit(m); a.Verdict != Unknown {
 			t.Errorf("class %s, destination %d: verdict %v", m.Class, m.Dest, a.Verdict)
 		}
 	}
-	w.take(msg("a", "stock", 1))
-	if a := w.Submit(msg("a", "stock", 1)); a.Verdict != Duplicate {
+	w.mustAccept(newMessage("a", "stock", 1))
+	if a := w.Submit(newMessage("a", "stock", 1)); a.Verdict != Duplicate {
 		t.Errorf("the same name again: verdict %v", a.Verdict)
 	}
-	w.addUp(w.Counts())
+	w.checkSums(w.Counts())
 }
 
 // With the folder full nothing new is taken on, and what is held goes on.
 func TestFullLedgerRefuses(t *testing.T) {
-	w := begin(t, func(s *rules.Settings) { s.MaxHeld, s.Slots = 1000, 1 })
+	w := startHarness(t, func(s *rules.Settings) { s.MaxHeld, s.Slots = 1000, 1 })
 	n := 0
 	for ; n < 100; n++ {
-		m := msg(fmt.Sprint("m", n), "stock", 1)
+		m := newMessage(fmt.Sprint("m", n), "stock", 1)
 		m.Body = make([]byte, 60<<10)
 		a := w.Submit(m)
 		if a.Verdict == Refused {
@@ -434,44 +434,44 @@
 	if n == 100 {
 		t.Fatal("6 MB taken on in a folder of 2")
 	}
-	w.finish(testkit.Receive(t, w.ends.started, "call"), rules.OK)
-	testkit.Receive(t, w.ends.started, "call of the next")
-	w.addUp(w.Counts())
+	w.finishCall(testkit.Receive(t, w.endpoints.started, "call"), rules.OK)
+	testkit.Receive(t, w.endpoints.started, "call of the next")
+	w.checkSums(w.Counts())
 }
 
 // One step's messages for an endpoint that takes several travel together, up to its number.
 func TestBatches(t *testing.T) {
-	w := newWorld(t, t.TempDir(), nil)
+	w := newHarness(t, t.TempDir(), nil)
 	w.Recover()
 	replies := make(chan Answer, 10)
 	for i := range 7 {
-		w.Exchange.take(msg(fmt.Sprint("m", i), "stock", 2), replies)
+		w.Exchange.accept(newMessage(fmt.Sprint("m", i), "stock", 2), replies)
 	}
 	w.step()
 	sizes := []int{}
-	for len(w.ends.started) > 0 {
-		c := <-w.ends.started
+	for len(w.endpoints.started) > 0 {
+		c := <-w.endpoints.started
 		sizes = append(sizes, len(c.Items))
 	}
 	if fmt.Sprint(sizes) != "[3 3 1]" && fmt.Sprint(sizes) != "[3 3]" {
 		t.Errorf("calls of %v messages, want 3 at most and each filled", sizes)
 	}
-	w.led.Close()
+	w.ledger.Close()
 }
 
 // An attempt that times out ends its call; whether it may have run goes by what was written.
 func TestTimeOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, written := range []bool{true, false} {
-			w := begin(t, func(s *rules.Settings) { s.MaxAttempts = 1 })
-			m := msg("a", "payment", 1)
+			w := startHarness(t, func(s *rules.Settings) { s.MaxAttempts = 1 })
+			m := newMessage("a", "payment", 1)
 			m.Deadline = time.Now().Add(150 * time.Millisecond)
-			w.take(m)
-			c := testkit.Receive(t, w.ends.started, "call")
+			w.mustAccept(m)
+			c := testkit.Receive(t, w.endpoints.started, "call")
 			if c.Timeout <= 0 || c.Timeout > 150*time.Millisecond {
 				t.Errorf("the call waits %v, want the time that is left", c.Timeout)
 			}
-			if got := testkit.Receive(t, w.ends.cancelled, "end of the call"); got != c {
+			if got := testkit.Receive(t, w.endpoints.cancelled, "end of the call"); got != c {
 				t.Errorf("another call was given up")
 			}
 			w.Finish(c, Result{Written: written, Items: []ItemResult{{Outcome: rules.Cancelled}}})
@@ -479,7 +479,7 @@
 			if written {
 				want = rules.TimedOut
 			}
-			w.settled("told", func(c Counts) bool { return c.Outcomes[want] == 1 && c.Held == 0 })
+			w.waitForCounts("told", func(c Counts) bool { return c.Outcomes[want] == 1 && c.Held == 0 })
 		}
 	})
 }
@@ -487,14 +487,14 @@
 // An answer that crosses the giving up counts.
 func TestAnswerCrossesTimeOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := begin(t, nil)
-		m := msg("a", "payment", 1)
+		w := startHarness(t, nil)
+		m := newMessage("a", "payment", 1)
 		m.Deadline = time.Now().Add(100 * time.Millisecond)
-		w.take(m)
-		c := testkit.Receive(t, w.ends.started, "call")
-		testkit.Receive(t, w.ends.cancelled, "end of the call")
-		w.finish(c, rules.OK)
-		w.settled("told", func(c Counts) bool { return c.Outcomes[rules.OK] == 1 && c.InFlight == 0 })
+		w.mustAccept(m)
+		c := testkit.Receive(t, w.endpoints.started, "call")
+		testkit.Receive(t, w.endpoints.cancelled, "end of the call")
+		w.finishCall(c, rules.OK)
+		w.waitForCounts("told", func(c Counts) bool { return c.Outcomes[rules.OK] == 1 && c.InFlight == 0 })
 	})
 }
 
@@ -502,22 +502,22 @@
 // does not go out once more.
 func TestNothingGoesOutAsItsTimeEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, t.TempDir(), nil)
+		w := newHarness(t, t.TempDir(), nil)
 		w.Recover()
-		m := msg("a", "stock", 1)
+		m := newMessage("a", "stock", 1)
 		m.Deadline = time.Now().Add(100 * time.Millisecond)
-		w.Exchange.take(m, make(chan Answer, 1))
+		w.Exchange.accept(m, make(chan Answer, 1))
 		testkit.Eventually(t, "half its time", func() bool { return time.Until(m.Deadline) < 50*time.Millisecond })
 		w.step()
-		c := testkit.Receive(t, w.ends.started, "call")
+		c := testkit.Receive(t, w.endpoints.started, "call")
 		testkit.Eventually(t, "all of it", func() bool { return time.Until(m.Deadline) < 0 })
 		w.step()
-		w.finished(c.flight, Result{Written: true, Items: []ItemResult{{Outcome: rules.Cancelled}}})
+		w.onCallFinished(c.inFlight, Result{Written: true, Items: []ItemResult{{Outcome: rules.Cancelled}}})
 		w.step()
-		if n, told := len(w.ends.started), len(w.plat.told); n != 0 || told != 1 {
+		if n, told := len(w.endpoints.started), len(w.platform.enqueued); n != 0 || told != 1 {
 			t.Errorf("%d calls after its time and %d notices, want none and one", n, told)
 		}
-		w.led.Close()
+		w.ledger.Close()
 	})
 }
 
@@ -525,43 +525,43 @@
 // told of as well; one before that needs no notice.
 func TestAcceptedInTheLastMoment(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		for left, told := range map[time.Duration]int{200 * time.Millisecond: 0, lastMoment / 2: 1, 0: 1, -3 * time.Millisecond: 1} {
-			w := newWorld(t, t.TempDir(), nil)
+		for left, told := range map[time.Duration]int{200 * time.Millisecond: 0, deadlineSlack / 2: 1, 0: 1, -3 * time.Millisecond: 1} {
+			w := newHarness(t, t.TempDir(), nil)
 			w.Recover()
-			m := msg("a", "payment", 1)
-			w.Exchange.take(m, make(chan Answer, 1))
+			m := newMessage("a", "payment", 1)
+			w.Exchange.accept(m, make(chan Answer, 1))
 			w.step()
-			c := testkit.Receive(t, w.ends.started, "call")
+			c := testkit.Receive(t, w.endpoints.started, "call")
 			m.Deadline = time.Now().Add(left)
-			w.finished(c.flight, Result{Written: true, Items: []ItemResult{{Outcome: rules.OK}}})
+			w.onCallFinished(c.inFlight, Result{Written: true, Items: []ItemResult{{Outcome: rules.OK}}})
 			w.step()
-			if got := w.snapshot(); len(w.plat.told) != told || got.Delivered != 1 || got.Held != 0 || got.InFlight != 0 {
-				t.Errorf("with %v left: %d notices, want %d; counters %+v", left, len(w.plat.told), told, got)
+			if got := w.snapshot(); len(w.platform.enqueued) != told || got.Delivered != 1 || got.Held != 0 || got.InFlight != 0 {
+				t.Errorf("with %v left: %d notices, want %d; counters %+v", left, len(w.platform.enqueued), told, got)
 			}
-			if owed := len(w.owed()) + len(w.led.Notices()); owed != told {
+			if owed := len(w.pendingOnDisk()) + len(w.ledger.Notices()); owed != told {
 				t.Errorf("with %v left: the ledger owes %d ends, want %d", left, owed, told)
 			}
-			w.addUp(w.snapshot())
-			w.led.Close()
+			w.checkSums(w.snapshot())
+			w.ledger.Close()
 		}
 	})
 }
 
 // A message over by the endpoint's word (410) needs no notice; one past its attempts (504) does.
 func TestOverElsewhere(t *testing.T) {
-	w := begin(t, nil)
-	w.take(msg("a", "stock", 1))
-	c := testkit.Receive(t, w.ends.started, "call")
+	w := startHarness(t, nil)
+	w.mustAccept(newMessage("a", "stock", 1))
+	c := testkit.Receive(t, w.endpoints.started, "call")
 	w.Finish(c, Result{Written: true, Items: []ItemResult{{Outcome: rules.NotSent, Finished: true}}})
-	got := w.settled("over", func(c Counts) bool { return c.Held == 0 })
-	if got.FinishedElsewhere != 1 || len(w.plat.told) != 0 {
-		t.Errorf("%d notices, counters %+v", len(w.plat.told), got)
+	got := w.waitForCounts("over", func(c Counts) bool { return c.Held == 0 })
+	if got.FinishedElsewhere != 1 || len(w.platform.enqueued) != 0 {
+		t.Errorf("%d notices, counters %+v", len(w.platform.enqueued), got)
 	}
-	w.take(msg("b", "stock", 1))
+	w.mustAccept(newMessage("b", "stock", 1))
 	for range 4 {
-		w.finish(testkit.Receive(t, w.ends.started, "call"), rules.NotSent)
+		w.finishCall(testkit.Receive(t, w.endpoints.started, "call"), rules.NotSent)
 	}
-	if n := testkit.Receive(t, w.plat.told, "notice"); n.ID != "b" {
+	if n := testkit.Receive(t, w.platform.enqueued, "notice"); n.ID != "b" {
 		t.Errorf("notice: %+v", n)
 	}
 }
@@ -569,15 +569,15 @@
 // Whatever the list says later, a call never leaves for an endpoint of another destination.
 func TestMovedEndpointGetsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := begin(t, nil)
+		w := startHarness(t, nil)
 		w.ApplyListing(Listing{Whole: true, Hosts: []Host{{Peer: Peer{"s-1", "127.0.0.1:1001"}, Dest: 9}}})
-		m := msg("a", "stock", 1)
+		m := newMessage("a", "stock", 1)
 		m.Deadline = time.Now().Add(200 * time.Millisecond)
-		w.take(m)
-		if n := testkit.Receive(t, w.plat.told, "notice"); n.ID != "a" {
+		w.mustAccept(m)
+		if n := testkit.Receive(t, w.platform.enqueued, "notice"); n.ID != "a" {
 			t.Errorf("notice: %+v", n)
 		}
-		if n := len(w.ends.started); n != 0 {
+		if n := len(w.endpoints.started); n != 0 {
 			t.Errorf("%d calls to an endpoint of another destination", n)
 		}
 	})
@@ -588,18 +588,18 @@
 func TestDrainCallsBackWhatWaitsForAConnection(t *testing.T) {
 	other := Host{Peer: Peer{"s-3", "127.0.0.1:1003"}, Dest: 1}
 	for name, list := range map[string]Listing{
-		"drains":       {Hosts: []Host{{Peer: known.Hosts[0].Peer, Dest: 1, Draining: true}, other}},
-		"gone":         {Hosts: []Host{{Peer: known.Hosts[0].Peer, Gone: true}, other}},
+		"drains":       {Hosts: []Host{{Peer: knownEndpoints.Hosts[0].Peer, Dest: 1, Draining: true}, other}},
+		"gone":         {Hosts: []Host{{Peer: knownEndpoints.Hosts[0].Peer, Gone: true}, other}},
 		"not in whole": {Whole: true, Hosts: []Host{other}},
 	} {
-		w := begin(t, nil)
-		w.take(msg("a", "stock", 1))
-		c := testkit.Receive(t, w.ends.started, "call")
+		w := startHarness(t, nil)
+		w.mustAccept(newMessage("a", "stock", 1))
+		c := testkit.Receive(t, w.endpoints.started, "call")
 		w.ApplyListing(list)
-		if got := testkit.Receive(t, w.ends.recalled, "call back"); got != c {
+		if got := testkit.Receive(t, w.endpoints.recalled, "call back"); got != c {
 			t.Errorf("%s: called back %+v, want %+v", name, got, c)
 		}
-		if got := testkit.Receive(t, w.ends.started, "call"); got.To != other.Peer {
+		if got := testkit.Receive(t, w.endpoints.started, "call"); got.To != other.Peer {
 			t.Errorf("%s: went on to %+v", name, got.To)
 		}
 	}
@@ -607,50 +607,50 @@
 
 // A change of an endpoint that no list has named: one that has gone is none, one that drains gets nothing, one that is there is new.
 func TestAChangeOfWhatWasNeverListed(t *testing.T) {
-	w := begin(t, nil)
+	w := startHarness(t, nil)
 	w.ApplyListing(Listing{Hosts: []Host{{Peer: Peer{"s-7", "127.0.0.1:1007"}, Dest: 7, Gone: true}, {Peer: Peer{"s-8", "127.0.0.1:1008"}, Dest: 1, Draining: true},
 		{Peer: Peer{"s-9", "127.0.0.1:1009"}, Dest: 9}}})
-	if a := w.Submit(msg("gone", "stock", 7)); a.Verdict != Unknown {
+	if a := w.Submit(newMessage("gone", "stock", 7)); a.Verdict != Unknown {
 		t.Errorf("verdict %v for a destination of which only a removal was told", a.Verdict)
 	}
-	w.take(msg("new", "stock", 9))
-	if c := testkit.Receive(t, w.ends.started, "call"); c.To.Name != "s-9" {
+	w.mustAccept(newMessage("new", "stock", 9))
+	if c := testkit.Receive(t, w.endpoints.started, "call"); c.To.Name != "s-9" {
 		t.Errorf("went to %v", c.To)
 	}
 	for i := range 5 {
-		w.take(msg(fmt.Sprint("m", i), "stock", 1))
-		c := testkit.Receive(t, w.ends.started, "call")
+		w.mustAccept(newMessage(fmt.Sprint("m", i), "stock", 1))
+		c := testkit.Receive(t, w.endpoints.started, "call")
 		if c.To.Name != "s-1" {
 			t.Errorf("went to %v", c.To)
 		}
-		w.finish(c, rules.OK)
+		w.finishCall(c, rules.OK)
 	}
 	w.ApplyListing(Listing{Hosts: []Host{{Peer: Peer{Name: "s-9"}, Gone: true}, {Peer: Peer{Name: "s-9"}, Gone: true}}}) // told twice
-	w.take(msg("after", "stock", 1))
-	testkit.Receive(t, w.ends.started, "call")
+	w.mustAccept(newMessage("after", "stock", 1))
+	testkit.Receive(t, w.endpoints.started, "call")
 }
 
 // Room for the list of endpoints is the ledger's to grant; an exchange that has ended grants none, and nobody waits for it.
 func TestRoomForTheList(t *testing.T) {
-	w := begin(t, nil)
+	w := startHarness(t, nil)
 	if !w.ReserveListSpace(100_000) || w.ReserveListSpace(2<<20) {
 		t.Error("room is not granted as the ledger has it")
 	}
-	w.end()
+	w.stopAndClose()
 	if w.ReserveListSpace(1) {
 		t.Error("room granted after the end")
 	}
 }
 
 // offer takes in so many messages for the destination whose calls hold three, the first of them with less time, and steps.
-func (w *world) offer(n int, first time.Duration) {
+func (w *harness) acceptBatch(n int, first time.Duration) {
 	replies := make(chan Answer, n)
 	for i := range n {
-		m := msg(fmt.Sprint("m", i), "payment", 2) // which is not timed out before its end
+		m := newMessage(fmt.Sprint("m", i), "payment", 2) // which is not timed out before its end
 		if i == 0 {
 			m.Deadline = time.Now().Add(first)
 		}
-		w.Exchange.take(m, replies)
+		w.Exchange.accept(m, replies)
 	}
 	w.step()
 }
@@ -660,23 +660,23 @@
 func TestARepeatTellsWhenItHasToLeave(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		window := 3 * time.Second
-		w := newWorld(t, t.TempDir(), func(s *rules.Settings) {
+		w := newHarness(t, t.TempDir(), func(s *rules.Settings) {
 			s.Classes[0].Effect, s.Classes[0].Window = rules.Keyed, window
 		})
 		earlier := time.Now().Add(-time.Second)
-		m := msg("before", "stock", 1)
-		for _, err := range []error{w.led.RecordAccepted(m), w.led.RecordCall([]string{m.ID}, []int{0}, "s-1", earlier), w.led.RecordOutcome(m.ID, 0, true, true)} {
+		m := newMessage("before", "stock", 1)
+		for _, err := range []error{w.ledger.RecordAccepted(m), w.ledger.RecordCall([]string{m.ID}, []int{0}, "s-1", earlier), w.ledger.RecordOutcome(m.ID, 0, true, true)} {
 			if err != nil {
 				t.Fatal(err)
 			}
 		}
 		w.start()
-		c := testkit.Receive(t, w.ends.started, "repeat")
+		c := testkit.Receive(t, w.endpoints.started, "repeat")
 		if late := c.WriteBy.Sub(earlier); late > window || late < window-100*time.Millisecond {
 			t.Errorf("the repeat leaves up to %v after the first attempt, the window is %v", late, window)
 		}
-		w.take(msg("new", "stock", 1))
-		if c := testkit.Receive(t, w.ends.started, "call"); !c.WriteBy.IsZero() {
+		w.mustAccept(newMessage("new", "stock", 1))
+		if c := testkit.Receive(t, w.endpoints.started, "call"); !c.WriteBy.IsZero() {
 			t.Errorf("a first attempt has to leave by %v", c.WriteBy)
 		}
 	})
@@ -686,28 +686,28 @@
 func TestARestartThatTakesLongKeepsTheWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		window := 3 * time.Second
-		w := newWorld(t, t.TempDir(), func(s *rules.Settings) {
+		w := newHarness(t, t.TempDir(), func(s *rules.Settings) {
 			s.Classes[0].Effect, s.Classes[0].Window = rules.Keyed, window
 		})
 		earlier := time.Now()
-		m := msg("before", "stock", 1)
-		for _, err := range []error{w.led.RecordAccepted(m), w.led.RecordCall([]string{m.ID}, []int{0}, "s-1", earlier), w.led.RecordOutcome(m.ID, 0, true, true)} {
+		m := newMessage("before", "stock", 1)
+		for _, err := range []error{w.ledger.RecordAccepted(m), w.ledger.RecordCall([]string{m.ID}, []int{0}, "s-1", earlier), w.ledger.RecordOutcome(m.ID, 0, true, true)} {
 			if err != nil {
 				t.Fatal(err)
 			}
 		}
 		time.Sleep(time.Second)
-		w.listed(known)
-		for _, o := range w.led.Pending() {
+		w.applyListing(knownEndpoints)
+		for _, o := range w.ledger.Pending() {
 			w.restore(o)
 		}
 		time.Sleep(200 * time.Millisecond) // the rest of a large ledger, on a busy machine
 		w.step()
-		c := testkit.Receive(t, w.ends.started, "repeat")
+		c := testkit.Receive(t, w.endpoints.started, "repeat")
 		if late := c.WriteBy.Sub(earlier); late > window || late < window-100*time.Millisecond {
 			t.Errorf("the repeat leaves up to %v after the first attempt, the window is %v", late, window)
 		}
-		w.led.Close()
+		w.ledger.Close()
 	})
 }
 
@@ -717,66 +717,66 @@
 // and none goes out again while it may still be answered.
 func TestACallHasOneFate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ok := func(w *world, other *Call) {
-			w.finished(other.flight, Result{Written: true, Items: []ItemResult{{Outcome: rules.OK}}})
+		ok := func(w *harness, other *Call) {
+			w.onCallFinished(other.inFlight, Result{Written: true, Items: []ItemResult{{Outcome: rules.OK}}})
 		}
 		for _, c := range []struct {
 			name   string
-			strike func(w *world, first, other *Call) // two calls to the destination, of three messages and of one
+			strike func(w *harness, first, other *Call) // two calls to the destination, of three messages and of one
 			after  time.Duration
 			left   int  // messages that go out again
 			ends   bool // a written call is given up
 		}{
-			{"a wait", func(w *world, _, other *Call) {
-				w.finished(other.flight, Result{Written: true, Items: []ItemResult{{Outcome: rules.Errored, RetryAfter: 4 * time.Second}}})
+			{"a wait", func(w *harness, _, other *Call) {
+				w.onCallFinished(other.inFlight, Result{Written: true, Items: []ItemResult{{Outcome: rules.Errored, RetryAfter: 4 * time.Second}}})
 			}, 4 * time.Second, 3, false},
-			{"the end of a message", func(w *world, _, other *Call) { ok(w, other); w.later(14 * time.Second) }, 100 * time.Millisecond, 2, true},
-			{"a withdrawal", func(w *world, first, other *Call) { ok(w, other); w.Withdraw(first.Items[1].ID); w.drain() }, 100 * time.Millisecond, 2, false},
+			{"the end of a message", func(w *harness, _, other *Call) { ok(w, other); w.advanceClock(14 * time.Second) }, 100 * time.Millisecond, 2, true},
+			{"a withdrawal", func(w *harness, first, other *Call) { ok(w, other); w.Withdraw(first.Items[1].ID); w.runQueuedTasks() }, 100 * time.Millisecond, 2, false},
 		} {
 			for _, written := range []bool{false, true} {
-				w := newWorld(t, t.TempDir(), func(s *rules.Settings) { s.MaxAttempts = 1 })
-				w.ends.onRecall = func(*Call) bool { return !written }
+				w := newHarness(t, t.TempDir(), func(s *rules.Settings) { s.MaxAttempts = 1 })
+				w.endpoints.onRecall = func(*Call) bool { return !written }
 				w.Recover()
-				w.offer(4, 15*time.Second)
-				w.later(time.Second) // the last one has waited its time for company
+				w.acceptBatch(4, 15*time.Second)
+				w.advanceClock(time.Second) // the last one has waited its time for company
 				w.step()
-				first, other := <-w.ends.started, <-w.ends.started
+				first, other := <-w.endpoints.started, <-w.endpoints.started
 				if first.Timeout > 15*time.Second {
 					t.Errorf("the call waits %v, want until the first of its messages ends", first.Timeout)
 				}
 				c.strike(w, first, other)
 				w.step()
-				if n := len(w.ends.recalled); n == 0 || <-w.ends.recalled != first || w.counts.Recalled > 1 || (w.counts.Recalled == 1) == written {
+				if n := len(w.endpoints.recalled); n == 0 || <-w.endpoints.recalled != first || w.counts.Recalled > 1 || (w.counts.Recalled == 1) == written {
 					t.Errorf("%s, written %v: %d calls to be called back, counters %+v", c.name, written, n, w.counts)
 				}
-				w.later(c.after - 10*time.Millisecond)
+				w.advanceClock(c.after - 10*time.Millisecond)
 				w.step()
-				if n := len(w.ends.started); n != 0 && c.left == 3 {
+				if n := len(w.endpoints.started); n != 0 && c.left == 3 {
 					t.Errorf("%s, written %v: %d calls before the wait is over", c.name, written, n)
 				}
-				w.later(500 * time.Millisecond)
+				w.advanceClock(500 * time.Millisecond)
 				w.step()
 				again := 0
-				for len(w.ends.started) > 0 {
-					if call := <-w.ends.started; len(call.Items) > 1 {
+				for len(w.endpoints.started) > 0 {
+					if call := <-w.endpoints.started; len(call.Items) > 1 {
 						again = len(call.Items)
 					}
 				}
 				if want := map[bool]int{false: c.left}[written]; again != want {
 					t.Errorf("%s, written %v: %d messages go out again, want %d", c.name, written, again, want)
 				}
-				if n := len(w.ends.cancelled); n > 1 || (n == 1) != (written && c.ends) {
+				if n := len(w.endpoints.cancelled); n > 1 || (n == 1) != (written && c.ends) {
 					t.Errorf("%s, written %v: %d calls given up, want one if it ends", c.name, written, n)
 				}
 				if written {
 					out := w.snapshot().InFlight
-					w.finished(first.flight, Result{Written: true, Items: slices.Repeat([]ItemResult{{Outcome: rules.Cancelled}}, 3)})
+					w.onCallFinished(first.inFlight, Result{Written: true, Items: slices.Repeat([]ItemResult{{Outcome: rules.Cancelled}}, 3)})
 					if w.step(); out != 3 || c.ends && w.snapshot().Outcomes[rules.TimedOut] != 3 {
 						t.Errorf("%s: %d attempts out before the call has ended, counters %+v", c.name, out, w.snapshot())
 					}
 				}
-				w.addUp(w.snapshot())
-				w.led.Close()
+				w.checkSums(w.snapshot())
+				w.ledger.Close()
 			}
 		}
 	})
@@ -785,34 +785,34 @@
 // Where steps are far apart the module answers before a message's time is over; the call that is out is given up with it.
 func TestAFinalAnswerGivesUpTheCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, t.TempDir(), func(s *rules.Settings) { s.Tick, s.AnswerGrace = time.Second, 0 })
+		w := newHarness(t, t.TempDir(), func(s *rules.Settings) { s.Tick, s.AnswerGrace = time.Second, 0 })
 		w.Recover()
-		w.Exchange.take(msg("a", "payment", 1), make(chan Answer, 1))
+		w.Exchange.accept(newMessage("a", "payment", 1), make(chan Answer, 1))
 		w.step()
-		c := testkit.Receive(t, w.ends.started, "call")
-		w.later(14*time.Second + time.Millisecond)
+		c := testkit.Receive(t, w.endpoints.started, "call")
+		w.advanceClock(14*time.Second + time.Millisecond)
 		w.step()
-		if n := testkit.Receive(t, w.plat.told, "notice"); n.ID != "a" {
+		if n := testkit.Receive(t, w.platform.enqueued, "notice"); n.ID != "a" {
 			t.Errorf("notice %+v", n)
 		}
-		if len(w.ends.cancelled) != 1 || <-w.ends.cancelled != c {
+		if len(w.endpoints.cancelled) != 1 || <-w.endpoints.cancelled != c {
 			t.Error("the call goes on after the final answer")
 		}
-		w.led.Close()
+		w.ledger.Close()
 	})
 }
 
 // A told wait halts the destination whatever outcome brought it.
 func TestWaitWithAnyOutcome(t *testing.T) {
-	w := begin(t, nil)
-	w.take(msg("a", "stock", 1))
-	c := testkit.Receive(t, w.ends.started, "call")
+	w := startHarness(t, nil)
+	w.mustAccept(newMessage("a", "stock", 1))
+	c := testkit.Receive(t, w.endpoints.started, "call")
 	w.Finish(c, Result{Written: true, Items: []ItemResult{{Outcome: rules.OK, RetryAfter: time.Hour}}})
-	w.settled("delivered", func(c Counts) bool { return c.Delivered == 1 })
-	if a := w.Submit(msg("b", "stock", 1)); a.Verdict != Refused || a.RetryAfter != 3*time.Second {
+	w.waitForCounts("delivered", func(c Counts) bool { return c.Delivered == 1 })
+	if a := w.Submit(newMessage("b", "stock", 1)); a.Verdict != Refused || a.RetryAfter != 3*time.Second {
 		t.Errorf("handed in during a wait that outlasts it: %+v, want refused with the longest advice", a)
 	}
-	if n := len(w.ends.started); n != 0 {
+	if n := len(w.endpoints.started); n != 0 {
 		t.Errorf("%d calls during the wait", n)
 	}
 }
@@ -821,7 +821,7 @@
 func TestUnknownTenant(t *testing.T) {
 	x := New(Config{Settings: testSettings(), Tenants: []string{"a", "b"}})
 	for name, want := range map[string]int{"a": 0, "b": 1, "": 2, "c": 2} {
-		if got := x.tenant(name); got != want {
+		if got := x.tenantIndex(name); got != want {
 			t.Errorf("%q is tenant %d, want %d", name, got, want)
 		}
 	}
@@ -837,96 +837,96 @@
 }
 
 // later moves the exchange's clock on. Call it only while the exchange does not run.
-func (w *world) later(d time.Duration) { w.started = w.started.Add(-d) }
+func (w *harness) advanceClock(d time.Duration) { w.startedAt = w.startedAt.Add(-d) }
 
 // Thousands of endpoints that replace one another, some at an address used before, and thousands of messages leave
 // nothing behind, and idle connections to those gone are closed.
 func TestChurn(t *testing.T) {
-	w := newWorld(t, t.TempDir(), nil)
+	w := newHarness(t, t.TempDir(), nil)
 	w.Recover()
 	replies := make(chan Answer, 10)
 	for i := range 3000 {
 		peer := Peer{fmt.Sprint("new-", i), fmt.Sprint("127.0.0.1:", 2000+i%5)}
-		w.listed(Listing{Hosts: []Host{{Peer: peer, Dest: 1}}})
+		w.applyListing(Listing{Hosts: []Host{{Peer: peer, Dest: 1}}})
 		if i > 0 {
-			w.listed(Listing{Hosts: []Host{{Peer: Peer{Name: fmt.Sprint("new-", i-1)}, Gone: true}}})
-			if left := <-w.ends.closed; left.Name != fmt.Sprint("new-", i-1) || left.Addr == "" {
+			w.applyListing(Listing{Hosts: []Host{{Peer: Peer{Name: fmt.Sprint("new-", i-1)}, Gone: true}}})
+			if left := <-w.endpoints.closed; left.Name != fmt.Sprint("new-", i-1) || left.Addr == "" {
 				t.Fatalf("idle connections to %v are closed", left)
 			}
 		}
-		w.Exchange.take(msg(fmt.Sprint("m", i), "stock", 1), replies)
+		w.Exchange.accept(newMessage(fmt.Sprint("m", i), "stock", 1), replies)
 		w.step()
 		if a := <-replies; a.Verdict != Accepted {
 			t.Fatalf("message %d: %+v", i, a)
 		}
-		c := <-w.ends.started
-		w.finished(c.flight, Result{Written: true, Items: []ItemResult{{Outcome: rules.OK}}})
-		w.later(time.Second)
+		c := <-w.endpoints.started
+		w.onCallFinished(c.inFlight, Result{Written: true, Items: []ItemResult{{Outcome: rules.OK}}})
+		w.advanceClock(time.Second)
 	}
-	dir := w.Exchange.dir
-	if n := dir.byName.Len() + len(dir.rows) - dir.dead; n > 100 || len(dir.rows) > 200 || len(dir.text.chunks) > 2 {
-		t.Errorf("%d numbers and hosts kept of 3000 endpoints, in %d rows and %d chunks", n, len(dir.rows), len(dir.text.chunks))
+	dir := w.Exchange.directory
+	if n := dir.byName.Len() + len(dir.rows) - dir.deadRows; n > 100 || len(dir.rows) > 200 || len(dir.arena.chunks) > 2 {
+		t.Errorf("%d numbers and hosts kept of 3000 endpoints, in %d rows and %d chunks", n, len(dir.rows), len(dir.arena.chunks))
 	}
-	if n := len(w.held) + len(w.flights) + len(w.fresh); n != 0 {
+	if n := len(w.held) + len(w.callsInFlight) + len(w.unanswered); n != 0 {
 		t.Errorf("%d messages and calls kept", n)
 	}
-	w.led.Close()
+	w.ledger.Close()
 }
 
 // The names of ended messages are kept for a while and bounded in number.
 func TestPast(t *testing.T) {
-	p, now := newPast(nil), time.Now()
-	if long := newPast([]rules.Class{{Deadline: time.Second}, {Deadline: 30 * time.Second}}); p.keep != pastFor || long.keep != 30*time.Second {
-		t.Errorf("kept %v without classes and %v with one of 30 s", p.keep, long.keep)
+	p, now := newRecentIDs(nil), time.Now()
+	if long := newRecentIDs([]rules.Class{{Deadline: time.Second}, {Deadline: 30 * time.Second}}); p.retention != minIDRetention || long.retention != 30*time.Second {
+		t.Errorf("kept %v without classes and %v with one of 30 s", p.retention, long.retention)
 	}
-	for i := range 3 * pastMost {
+	for i := range 3 * maxRecentIDs {
 		p.add(fmt.Sprint(i), now)
 	}
-	if len(p.ended) > pastMost || len(p.queue) > pastMost {
-		t.Errorf("%d names kept, %d in line; at most %d", len(p.ended), len(p.queue), pastMost)
+	if len(p.endedAt) > maxRecentIDs || len(p.order) > maxRecentIDs {
+		t.Errorf("%d names kept, %d in line; at most %d", len(p.endedAt), len(p.order), maxRecentIDs)
 	}
-	if last := fmt.Sprint(3*pastMost - 1); !p.has(last, now) || p.has(last, now.Add(pastFor)) || p.has("0", now) {
+	if last := fmt.Sprint(3*maxRecentIDs - 1); !p.contains(last, now) || p.contains(last, now.Add(minIDRetention)) || p.contains("0", now) {
 		t.Error("the names kept are not those of the last while")
 	}
-	p.add("x", now.Add(pastFor))
-	if len(p.ended) != 1 || len(p.queue) != 1 {
-		t.Errorf("%d names kept past their time", len(p.ended)-1)
+	p.add("x", now.Add(minIDRetention))
+	if len(p.endedAt) != 1 || len(p.order) != 1 {
+		t.Errorf("%d names kept past their time", len(p.endedAt)-1)
 	}
 }
 
 // A name whose message has ended, in whatever way, is not taken on again: its message may have run.
 func TestEndedNameIsNotTakenAgain(t *testing.T) {
-	w := begin(t, func(s *rules.Settings) { s.MaxAttempts = 1 })
+	w := startHarness(t, func(s *rules.Settings) { s.MaxAttempts = 1 })
 	for id, o := range map[string]rules.Outcome{"delivered": rules.OK, "failed": rules.Errored} {
-		w.take(msg(id, "payment", 1))
-		w.finish(testkit.Receive(t, w.ends.started, "call"), o)
-		w.settled("ended", func(c Counts) bool { return c.Held == 0 })
-		if a := w.Submit(msg(id, "payment", 1)); a.Verdict != Duplicate {
+		w.mustAccept(newMessage(id, "payment", 1))
+		w.finishCall(testkit.Receive(t, w.endpoints.started, "call"), o)
+		w.waitForCounts("ended", func(c Counts) bool { return c.Held == 0 })
+		if a := w.Submit(newMessage(id, "payment", 1)); a.Verdict != Duplicate {
 			t.Errorf("a %s message handed in again: verdict %v", id, a.Verdict)
 		}
 	}
-	if n := len(w.ends.started); n != 0 {
+	if n := len(w.endpoints.started); n != 0 {
 		t.Errorf("%d calls for messages that had ended", n)
 	}
 }
 
 // What keeps coming does not keep the module from its step.
 func TestFloodDoesNotStarveTheStep(t *testing.T) {
-	w := newWorld(t, t.TempDir(), nil)
+	w := newHarness(t, t.TempDir(), nil)
 	w.Recover()
 	n := 0
 	var again func()
 	again = func() {
 		if n++; n < 10000 {
-			w.in <- again // each event brings the next
+			w.tasks <- again // each event brings the next
 		}
 	}
-	w.in <- again
-	w.drain()
+	w.tasks <- again
+	w.runQueuedTasks()
 	if n != 1 {
 		t.Errorf("%d events taken in at once, want the one that was there", n)
 	}
-	w.led.Close()
+	w.ledger.Close()
 }
 
 // Only what speaks of an endpoint in trouble counts as failed, not limits, full tables or what never left.
@@ -937,7 +937,7 @@
 	}{{ItemResult{Outcome: rules.ConnectError}, true}, {ItemResult{Outcome: rules.ConnectError, ConnectionLimitReached: true}, false},
 		{ItemResult{Outcome: rules.Refused}, false}, {ItemResult{Outcome: rules.NotSent}, false},
 		{ItemResult{Outcome: rules.Reset}, true}, {ItemResult{Outcome: rules.TimedOut}, true}, {ItemResult{Outcome: rules.Errored}, true}} {
-		if got := failed(c.r); got != c.want {
+		if got := indicatesFailure(c.r); got != c.want {
 			t.Errorf("%+v: failed %v, want %v", c.r, got, c.want)
 		}
 	}
--- a/internal/exchange/kill_test.go
+++ b/internal/exchange/kill_test.go
@@ -14,14 +14,14 @@
 )
 
 // deed is something done towards the outside, with how much of the ledger was written by then.
-type deed struct {
-	what string // "taken", "called", "delivered", "told"
-	id   string
-	at   int64
+type externalAction struct {
+	kind       string // "taken", "called", "delivered", "told"
+	id         string
+	ledgerSize int64
 }
 
 // segment is the one file of a ledger that has not turned yet.
-func segment(t *testing.T, dir string) string {
+func onlySegment(t *testing.T, dir string) string {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(dir, "*.seg"))
 	if err != nil || len(files) != 1 {
@@ -34,8 +34,8 @@
 // is held, told of (again, as no notice was accepted), or was delivered; a payment whose call had gone out and has no outcome is told as dead and not sent again; one
 // whose call had not gone out is sent; and nothing that was delivered is.
 func TestKilledAtEachRecord(t *testing.T) {
-	w := newWorld(t, t.TempDir(), nil)
-	path := segment(t, w.dir)
+	w := newHarness(t, t.TempDir(), nil)
+	path := onlySegment(t, w.dir)
 	size := func() int64 {
 		info, err := os.Stat(path)
 		if err != nil {
@@ -43,10 +43,10 @@
 		}
 		return info.Size()
 	}
-	var done []deed
+	var done []externalAction
 	var stops []int64 // after each step: records stand before and behind each of these
-	note := func(what, id string) { done = append(done, deed{what, id, size()}) }
-	w.ends.onStart = func(c *Call) {
+	note := func(what, id string) { done = append(done, externalAction{what, id, size()}) }
+	w.endpoints.onStart = func(c *Call) {
 		for _, m := range c.Items {
 			note("called", m.ID)
 		}
@@ -58,31 +58,31 @@
 	}
 	for i, class := range []string{"payment", "stock", "payment", "payment", "stock"} {
 		reply, id := make(chan Answer, 1), fmt.Sprint("m", i)
-		w.Exchange.take(msg(id, class, 1), reply)
+		w.Exchange.accept(newMessage(id, class, 1), reply)
 		stops = append(stops, size())
-		w.later(time.Second)
+		w.advanceClock(time.Second)
 		step()
 		if (<-reply).Verdict == Accepted {
 			note("taken", id)
 		}
 	}
 	for range 5 { // calls end, in the order in which they went out
-		c, o := testkit.Receive(t, w.ends.started, "call"), rules.OK
+		c, o := testkit.Receive(t, w.endpoints.started, "call"), rules.OK
 		if c.Items[0].ID == "m2" || c.Items[0].ID == "m4" { // a payment, and one that goes out again
 			o = rules.Reset
 		}
-		w.finished(c.flight, Result{Written: true, Items: slices.Repeat([]ItemResult{{Outcome: o}}, len(c.Items))})
+		w.onCallFinished(c.inFlight, Result{Written: true, Items: slices.Repeat([]ItemResult{{Outcome: o}}, len(c.Items))})
 		stops = append(stops, size())
 		if o == rules.OK {
 			note("delivered", c.Items[0].ID)
 		}
 		step()
-		for len(w.plat.told) > 0 {
-			note("told", (<-w.plat.told).ID)
+		for len(w.platform.enqueued) > 0 {
+			note("told", (<-w.platform.enqueued).ID)
 		}
 	}
-	w.led.Close()
-	if !slices.ContainsFunc(done, func(d deed) bool { return d.what == "told" }) {
+	w.ledger.Close()
+	if !slices.ContainsFunc(done, func(d externalAction) bool { return d.kind == "told" }) {
 		t.Fatalf("no notice among %+v", done)
 	}
 	text, err := os.ReadFile(path)
@@ -93,36 +93,36 @@
 		stops = append(stops, cut)
 	}
 	for _, cut := range stops {
-		killedAt(t, text[:cut], done)
+		checkRestartAfterKill(t, text[:cut], done)
 	}
 }
 
 // killedAt starts a new process on the ledger as it stood, and compares what it does with what had been done by then.
-func killedAt(t *testing.T, text []byte, done []deed) {
+func checkRestartAfterKill(t *testing.T, text []byte, done []externalAction) {
 	t.Helper()
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, "00000001.seg"), text, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	by := func(what, id string) bool {
-		return slices.ContainsFunc(done, func(d deed) bool { return d.what == what && d.id == id && d.at <= int64(len(text)) })
+		return slices.ContainsFunc(done, func(d externalAction) bool { return d.kind == what && d.id == id && d.ledgerSize <= int64(len(text)) })
 	}
-	w := newWorld(t, dir, nil)
+	w := newHarness(t, dir, nil)
 	owed := map[string]ledger.PendingMessage{}
-	for _, o := range w.led.Pending() {
+	for _, o := range w.ledger.Pending() {
 		owed[o.Message.ID] = o
 	}
 	w.Recover()
-	w.later(time.Second)
+	w.advanceClock(time.Second)
 	w.step()
 	sent, told := map[string]bool{}, map[string]bool{}
-	for len(w.ends.started) > 0 {
-		for _, m := range (<-w.ends.started).Items {
+	for len(w.endpoints.started) > 0 {
+		for _, m := range (<-w.endpoints.started).Items {
 			sent[m.ID] = true
 		}
 	}
-	for len(w.plat.told) > 0 {
-		told[(<-w.plat.told).ID] = true
+	for len(w.platform.enqueued) > 0 {
+		told[(<-w.platform.enqueued).ID] = true
 	}
 	for i, once := range []bool{true, false, true, true, false} {
 		id := fmt.Sprint("m", i)
@@ -144,5 +144,5 @@
 			t.Errorf("killed at %d: %s is over and sent", len(text), id)
 		}
 	}
-	w.led.Close()
+	w.ledger.Close()
 }
--- a/internal/exchange/memory_bench_test.go
+++ b/internal/exchange/memory_bench_test.go
@@ -8,7 +8,7 @@
 )
 
 // inUse is what of the heap is in use after a collection.
-func inUse() float64 {
+func liveHeapBytes() float64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.GC()
@@ -16,7 +16,7 @@
 	return float64(m.HeapAlloc)
 }
 
-func whole(n int) Listing {
+func newWholeListing(n int) Listing {
 	l := Listing{Whole: true, Hosts: make([]Host, n)}
 	for i := range l.Hosts {
 		l.Hosts[i] = Host{Peer: Peer{Name: fmt.Sprintf("s-%08x", i*2654435761%(1<<32)), Addr: fmt.Sprintf("10.%d.%d.%d:%d", i>>16, i>>8&255, i&255, 9000+i%999)},
@@ -30,17 +30,17 @@
 func BenchmarkDirectoryMemory(b *testing.B) {
 	const listed = 210_000
 	timed := func(d *directory) float64 {
-		l := whole(listed)
+		l := newWholeListing(listed)
 		began := time.Now()
 		d.update(l)
 		return time.Since(began).Seconds() * 1000
 	}
 	for b.Loop() {
-		start := inUse()
+		start := liveHeapBytes()
 		d := newDirectory()
 		first := timed(d)
 		again := timed(d)
-		b.ReportMetric((inUse()-start)/listed, "B/listed")
+		b.ReportMetric((liveHeapBytes()-start)/listed, "B/listed")
 		b.ReportMetric(first, "ms/first")
 		b.ReportMetric(again, "ms/again")
 		runtime.KeepAlive(d)
--- a/internal/exchange/observe_test.go
+++ b/internal/exchange/observe_test.go
@@ -12,20 +12,20 @@
 
 // TestAMessageIsFollowedByItsID plays a message that fails until its endpoint is on probation, and reads what the log says.
 func TestAMessageIsFollowedByItsID(t *testing.T) {
-	w := newWorld(t, t.TempDir(), func(s *rules.Settings) { s.MaxAttempts = 4 })
+	w := newHarness(t, t.TempDir(), func(s *rules.Settings) { s.MaxAttempts = 4 })
 	var text bytes.Buffer
 	w.cfg.Log = slog.New(slog.NewTextHandler(&text, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	w.Recover()
-	w.Exchange.take(msg("m1", "stock", 1), make(chan Answer, 1))
+	w.Exchange.accept(newMessage("m1", "stock", 1), make(chan Answer, 1))
 	for deadline := time.Now().Add(10 * time.Second); w.counts.Ended[rules.EndAttempts] == 0; {
 		if time.Now().After(deadline) {
 			t.Fatalf("not ended; counters %+v\n%s", w.counts, &text)
 		}
-		w.later(500 * time.Millisecond)
+		w.advanceClock(500 * time.Millisecond)
 		w.step()
 		select {
-		case c := <-w.ends.started:
-			w.finished(c.flight, Result{Written: true, Items: []ItemResult{{Outcome: rules.Errored}}})
+		case c := <-w.endpoints.started:
+			w.onCallFinished(c.inFlight, Result{Written: true, Items: []ItemResult{{Outcome: rules.Errored}}})
 		default:
 		}
 	}
@@ -45,37 +45,37 @@
 func TestARestartRemembersAnOutage(t *testing.T) {
 	many := func(s *rules.Settings) { s.Senders = 300 }
 	dir := t.TempDir()
-	w := newWorld(t, dir, many)
+	w := newHarness(t, dir, many)
 	w.Recover()
-	w.Exchange.take(msg("m1", "stock", 1), make(chan Answer, 1))
+	w.Exchange.accept(newMessage("m1", "stock", 1), make(chan Answer, 1))
 	for deadline := time.Now().Add(10 * time.Second); w.counts.Transitions == 0; {
 		if time.Now().After(deadline) {
 			t.Fatalf("the endpoint is still well; counters %+v", w.counts)
 		}
-		w.later(100 * time.Millisecond)
+		w.advanceClock(100 * time.Millisecond)
 		w.step()
 		select {
-		case c := <-w.ends.started:
-			w.finished(c.flight, Result{Written: true, Items: []ItemResult{{Outcome: rules.Errored}}})
+		case c := <-w.endpoints.started:
+			w.onCallFinished(c.inFlight, Result{Written: true, Items: []ItemResult{{Outcome: rules.Errored}}})
 		default:
 		}
 	}
-	w.led.Close()
+	w.ledger.Close()
 	for _, c := range []struct {
 		host string
 		dest int
 		held bool
 	}{{"s-1", 1, true}, {"s-2", 2, false}} {
-		next := newWorld(t, dir, many)
+		next := newHarness(t, dir, many)
 		next.Recover()
-		next.Exchange.take(msg("new for "+c.host, "stock", c.dest), make(chan Answer, 1))
+		next.Exchange.accept(newMessage("new for "+c.host, "stock", c.dest), make(chan Answer, 1))
 		next.step()
-		next.later(time.Second)
+		next.advanceClock(time.Second)
 		next.step()
 		held := true
 		for more := true; more; {
 			select {
-			case call := <-next.ends.started:
+			case call := <-next.endpoints.started:
 				held = held && call.To.Name != c.host
 			default:
 				more = false
@@ -84,6 +84,6 @@
 		if held != c.held {
 			t.Errorf("%s: held back %v, want %v", c.host, held, c.held)
 		}
-		next.led.Close()
+		next.ledger.Close()
 	}
 }
--- a/internal/exchange/recentids.go
+++ b/internal/exchange/recentids.go
@@ -1,4 +1,4 @@
-// This file owns the names of messages that have ended lately. It must never keep them for good.
+// This file owns the IDs of recently ended messages. It must never keep them without a limit on time and number.
 
 package exchange
 
@@ -8,40 +8,42 @@
 	"eiderhaven/rules"
 )
 
-// A name is kept after its message has ended for as long as a message of any class may last, 15 s at least, and so many at
-// most: whoever hands it in again within that time hands in the same message, which may have run. Beyond it a name is a new one.
+// After a message has ended, its ID is kept as long as a message of any class may live, and at least minIDRetention.
+// A submission with that ID within this time is the same message, which may already have run. Later, the ID counts
+// as new. At most maxRecentIDs are kept.
 const (
-	pastFor  = 15 * time.Second
-	pastMost = 16384
+	minIDRetention = 15 * time.Second
+	maxRecentIDs   = 16384
 )
 
-// past knows the names of messages that have ended lately.
-type past struct {
-	keep  time.Duration
-	ended map[string]time.Time
-	queue []string // oldest first
+// recentIDs is the deduplication window: the IDs of recently ended messages.
+type recentIDs struct {
+	retention time.Duration
+	endedAt   map[string]time.Time
+	order     []string // oldest first
 }
 
-func newPast(classes []rules.Class) past {
-	p := past{keep: pastFor, ended: map[string]time.Time{}}
+func newRecentIDs(classes []rules.Class) recentIDs {
+	r := recentIDs{retention: minIDRetention, endedAt: map[string]time.Time{}}
 	for _, c := range classes {
-		p.keep = max(p.keep, c.Deadline)
+		r.retention = max(r.retention, c.Deadline)
 	}
-	return p
+	return r
 }
 
-func (p *past) has(id string, now time.Time) bool {
-	at, known := p.ended[id]
-	return known && now.Sub(at) < p.keep
+func (r *recentIDs) contains(id string, now time.Time) bool {
+	at, known := r.endedAt[id]
+	return known && now.Sub(at) < r.retention
 }
 
-func (p *past) add(id string, now time.Time) {
-	for len(p.queue) > 0 && (len(p.queue) >= pastMost || now.Sub(p.ended[p.queue[0]]) >= p.keep) {
-		delete(p.ended, p.queue[0])
-		p.queue = p.queue[1:]
+// add adds an ID, after removing the IDs that are too old or too many.
+func (r *recentIDs) add(id string, now time.Time) {
+	for len(r.order) > 0 && (len(r.order) >= maxRecentIDs || now.Sub(r.endedAt[r.order[0]]) >= r.retention) {
+		delete(r.endedAt, r.order[0])
+		r.order = r.order[1:]
 	}
-	if _, known := p.ended[id]; !known {
-		p.queue = append(p.queue, id)
+	if _, known := r.endedAt[id]; !known {
+		r.order = append(r.order, id)
 	}
-	p.ended[id] = now
+	r.endedAt[id] = now
 }
--- a/internal/exchange/step.go
+++ b/internal/exchange/step.go
@@ -1,6 +1,6 @@
-// This file is one step: what has come in goes to the module, what the module wants is recorded and handed out, and
-// outcomes are booked. It owns the calls that are out. It must never hand out what the ledger has not recorded, nor
-// choose between two actions.
+// This file performs one step: it passes the collected events to the module, records and carries out the actions that
+// the module returns, and processes the results of calls. It owns the calls in flight. It must never start a call that
+// the ledger has not recorded, nor choose between two actions.
 
 package exchange
 
@@ -13,86 +13,98 @@
 	"eiderhaven/rules"
 )
 
-// flight is a call that is out. Its messages share one fate: it is answered, called back or given up whole.
-type flight struct {
-	call   *Call
-	handle Handle
-	ep     rules.EndpointID
-	sent   time.Duration
-	items  []item
-	due    time.Duration // when waiting for it ends: with the first of its messages' time, or after its longest time-out
-	quit   bool          // it is given up
-	ends   rules.Outcome // and why
+// deadlineSlack is how far the platform's clock for a message may be ahead of this sender's, which starts when the
+// request is read. It is the slack that the protocol gives every time limit.
+const deadlineSlack = 50 * time.Millisecond
+
+// callInFlight is a call that has started and has no result yet. It is answered, recalled or abandoned as a whole, with
+// all its messages.
+type callInFlight struct {
+	request     *Call
+	handle      Handle
+	endpoint    rules.EndpointID
+	sentAt      time.Duration
+	attempts    []attempt
+	timeoutAt   time.Duration // longest timeout of its attempts, but no later than its messages' first deadline
+	abandoned   bool
+	abandonedAs rules.Outcome // the outcome of an abandoned call, if it may have reached the endpoint
 }
 
-// item is one attempt of a call.
-type item struct {
-	msg *message.Message
-	num int
+// attempt is one message's part in one call.
+type attempt struct {
+	message *message.Message
+	number  int
 }
 
-// attempt means the call of one attempt by the module's names.
-func attempt(id rules.MessageID, num int) func(*flight) bool {
-	return func(f *flight) bool {
-		return slices.ContainsFunc(f.items, func(it item) bool { return it.msg.ID == string(id) && it.num == num })
+// hasAttempt returns a predicate that matches the call with this attempt.
+func hasAttempt(id rules.MessageID, number int) func(*callInFlight) bool {
+	return func(call *callInFlight) bool {
+		return slices.ContainsFunc(call.attempts, func(a attempt) bool {
+			return a.message.ID == string(id) && a.number == number
+		})
 	}
 }
 
-// carries means the call that holds a message.
-func carries(m *message.Message) func(*flight) bool {
-	return func(f *flight) bool {
-		return slices.ContainsFunc(f.items, func(it item) bool { return it.msg == m })
+// hasMessage returns a predicate that matches the calls with this message.
+func hasMessage(m *message.Message) func(*callInFlight) bool {
+	return func(call *callInFlight) bool {
+		return slices.ContainsFunc(call.attempts, func(a attempt) bool { return a.message == m })
 	}
 }
 
-// take takes in a message, unless it cannot be kept.
-func (x *Exchange) take(m *message.Message, reply chan Answer) {
+// accept records and holds a submitted message and queues it for the module, unless it has to be turned down.
+func (x *Exchange) accept(m *message.Message, reply chan Answer) {
 	x.counts.Submitted++
 	class, known := x.classes[m.Class]
 	switch {
-	case !known || !x.dir.knows(m.Dest):
+	case !known || !x.directory.knowsDest(m.Dest):
 		x.counts.Unknown++
 		reply <- Answer{Verdict: Unknown}
 		return
-	case x.held[m.ID] != nil || x.past.has(m.ID, time.Now()):
+	case x.held[m.ID] != nil || x.recentIDs.contains(m.ID, time.Now()):
 		x.counts.Duplicate++
 		reply <- Answer{Verdict: Duplicate}
 		return
-	case len(x.held) >= x.cfg.Settings.MaxHeld || x.record(x.cfg.Ledger.RecordAccepted(m)) != nil:
+	case len(x.held) >= x.cfg.Settings.MaxHeld || x.countRecordError(x.cfg.Ledger.RecordAccepted(m)) != nil:
 		x.counts.Refused++
-		reply <- Answer{Verdict: Refused, RetryAfter: x.retryAfter(x.cfg.Settings.MaxRetryAfter)}
+		reply <- Answer{Verdict: Refused, RetryAfter: x.retryAfterHint(x.cfg.Settings.MaxRetryAfter)}
 		return
 	}
 	x.trace("taken", func() []any {
 		return []any{"id", m.ID, "class", m.Class, "dest", m.Dest, "left", time.Until(m.Deadline)}
 	})
-	h := &held{msg: m, reply: reply}
+	h := &heldMessage{message: m, reply: reply}
 	x.held[m.ID] = h
-	x.fresh = append(x.fresh, h)
-	x.events = append(x.events, rules.Arrived{ID: rules.MessageID(m.ID), Destination: m.Dest, Class: class,
-		Tenant: x.tenant(m.Tenant)})
+	x.unanswered = append(x.unanswered, h)
+	x.events = append(x.events, rules.Arrived{
+		ID:          rules.MessageID(m.ID),
+		Destination: m.Dest,
+		Class:       class,
+		Tenant:      x.tenantIndex(m.Tenant),
+	})
 }
 
-func (x *Exchange) retryAfter(d time.Duration) time.Duration {
+// retryAfterHint returns d if refusals may give a Retry-After, else 0.
+func (x *Exchange) retryAfterHint(d time.Duration) time.Duration {
 	if !x.cfg.Settings.MaySendRetryAfter {
 		return 0
 	}
 	return d
 }
 
-// step tells the module what has come in and does what it wants.
+// step passes the collected events to the module and carries out its actions.
 func (x *Exchange) step() {
 	now := x.now()
-	x.expire(now)
+	x.expireCalls(now)
 	if x.wakeAt >= 0 && x.wakeAt <= now {
 		x.wakeAt = -1
 		x.events = append(x.events, rules.WakeUp{})
 	}
 	events := x.events
-	x.events, x.since = nil, -1
+	x.events, x.firstEventAt = nil, -1
 	for i, e := range events {
 		if a, arrived := e.(rules.Arrived); arrived && x.held[string(a.ID)] != nil {
-			events[i] = x.dated(a, now)
+			events[i] = x.withCurrentTimes(a, now)
 		}
 	}
 	actions := x.sender.Step(now, events)
@@ -108,39 +120,40 @@
 		case rules.Fail:
 			x.fail(x.held[string(a.ID)])
 		case rules.Cancel:
-			x.giveUpAll(rules.Cancelled, attempt(a.ID, a.Attempt))
+			x.abandonCalls(rules.Cancelled, hasAttempt(a.ID, a.Attempt))
 		case rules.Recall:
-			x.recall(attempt(a.ID, a.Attempt))
+			x.recallCall(hasAttempt(a.ID, a.Attempt))
 		case rules.CloseIdle:
-			x.cfg.Caller.CloseIdle(x.dir.host(a.Endpoint).Peer)
+			x.cfg.Caller.CloseIdle(x.directory.host(a.Endpoint).Peer)
 		case rules.EndpointForgotten:
-			x.dir.forget(a.Endpoint)
+			x.directory.forget(a.Endpoint)
 		case rules.WakeAfter:
 			x.wakeAt = now + a.After
 		case rules.Watch:
 			x.cfg.Platform.Watch()
 		}
 	}
-	x.send(now, sends)
-	for _, h := range x.fresh {
+	x.startCalls(now, sends)
+	for _, h := range x.unanswered {
 		x.answer(h, Answer{Verdict: Accepted})
 	}
-	x.fresh = x.fresh[:0]
+	x.unanswered = x.unanswered[:0]
 }
 
-// dated counts a message's times from the step that tells of it, as the module does. Time has passed since it came: else the module takes
-// it for alive when its call has been given up, and lets a repeat leave as much later than its key's window allows.
-func (x *Exchange) dated(a rules.Arrived, now time.Duration) rules.Arrived {
+// withCurrentTimes sets a message's times as of this step, because the module counts from the step and time has passed
+// since the message came. Otherwise the module would take the message for alive when its call has already been
+// abandoned, and would let a repeat leave that much later than the window of its key allows.
+func (x *Exchange) withCurrentTimes(a rules.Arrived, now time.Duration) rules.Arrived {
 	h := x.held[string(a.ID)]
-	a.TimeLeft = x.moment(h.msg.Deadline) - now
+	a.TimeLeft = x.moduleTime(h.message.Deadline) - now
 	if a.Prior.MayHaveRun {
-		a.Prior.Age = max(0, time.Since(h.mayRunAt))
+		a.Prior.Age = max(0, time.Since(h.mayHaveRunAt))
 	}
 	return a
 }
 
-// answer tells the client, once.
-func (x *Exchange) answer(h *held, a Answer) {
+// answer answers the client that submitted a message. Only the first answer is sent.
+func (x *Exchange) answer(h *heldMessage, a Answer) {
 	if h.reply == nil {
 		return
 	}
@@ -151,251 +164,277 @@
 	h.reply = nil
 }
 
-// drop lets go of a message whose end is known.
-func (x *Exchange) drop(h *held) {
-	delete(x.held, h.msg.ID)
-	x.past.add(h.msg.ID, time.Now())
+// release stops holding a message that has ended and remembers its ID.
+func (x *Exchange) release(h *heldMessage) {
+	delete(x.held, h.message.ID)
+	x.recentIDs.add(h.message.ID, time.Now())
 }
 
-// over drops a message of which nothing more is owed.
-func (x *Exchange) over(h *held) {
-	x.drop(h)
-	x.record(x.cfg.Ledger.RecordEnd(h.msg.ID))
+// finish releases a message that needs neither a delivery nor a notice any more.
+func (x *Exchange) finish(h *heldMessage) {
+	x.release(h)
+	x.countRecordError(x.cfg.Ledger.RecordEnd(h.message.ID))
 }
 
-// refuse ends a message: in the answer if the client still waits for it, else by a notice.
-func (x *Exchange) refuse(h *held, after time.Duration) {
+// refuse ends a message that may safely be submitted again: with the answer if the client still waits for one, else
+// with a notice.
+func (x *Exchange) refuse(h *heldMessage, retryAfter time.Duration) {
 	switch {
 	case h == nil:
 	case h.reply != nil:
 		x.counts.Refused++
-		x.answer(h, Answer{Verdict: Refused, RetryAfter: after})
-		x.over(h)
+		x.answer(h, Answer{Verdict: Refused, RetryAfter: retryAfter})
+		x.finish(h)
 	default:
 		x.counts.Bounced++
-		x.tell(h, ledger.Notice{ID: h.msg.ID, RetryAfter: after})
+		x.notify(h, ledger.Notice{ID: h.message.ID, RetryAfter: retryAfter})
 	}
 }
 
-// fail ends a message with no promise.
-func (x *Exchange) fail(h *held) {
+// fail ends a message that may or may not have run.
+func (x *Exchange) fail(h *heldMessage) {
 	switch {
 	case h == nil:
 	case h.reply != nil:
 		x.counts.Failed++
 		x.answer(h, Answer{Verdict: Failed})
-		x.over(h)
+		x.finish(h)
 	default:
 		x.counts.Dead++
-		x.tell(h, ledger.Notice{ID: h.msg.ID, Dead: true})
+		x.notify(h, ledger.Notice{ID: h.message.ID, Dead: true})
 	}
 }
 
-func (x *Exchange) tell(h *held, n ledger.Notice) {
-	x.giveUpAll(rules.TimedOut, carries(h.msg)) // nothing may reach an endpoint from now on
-	x.drop(h)
-	x.record(x.cfg.Ledger.RecordNotice(n))
+// notify ends a message with a notice to the platform.
+func (x *Exchange) notify(h *heldMessage, n ledger.Notice) {
+	x.abandonCalls(rules.TimedOut, hasMessage(h.message)) // nothing may reach an endpoint from now on
+	x.release(h)
+	x.countRecordError(x.cfg.Ledger.RecordNotice(n))
 	x.cfg.Platform.EnqueueNotice(n)
 }
 
-// record counts a record that the ledger could not write; the sender goes on without it.
-func (x *Exchange) record(err error) error {
+// countRecordError counts a record that the ledger could not write, and returns the error. The first one is logged. The
+// sender goes on without the record.
+func (x *Exchange) countRecordError(err error) error {
 	if err != nil {
 		if x.counts.RecordsFailed == 0 {
-			x.cfg.Log.Error("a record could not be written; further ones are only counted", "err", err)
+			x.cfg.Log.Error("writing a ledger record failed; further failures are only counted", "err", err)
 		}
 		x.counts.RecordsFailed++
 	}
 	return err
 }
 
-// send groups the sends of one step by endpoint, as far as its kind allows, and starts a call for each group.
-// In the last step none goes out: its answer would find nobody.
-func (x *Exchange) send(now time.Duration, sends []rules.Send) {
+// startCalls groups the sends of one step by endpoint, up to the batch size of the endpoint's kind, and starts a call
+// for each group. The last step starts none, as nobody would process the answers.
+func (x *Exchange) startCalls(now time.Duration, sends []rules.Send) {
 	if x.stopping {
 		return
 	}
-	var order []*flight
-	open := map[rules.EndpointID]*flight{}
+	var calls []*callInFlight
+	open := map[rules.EndpointID]*callInFlight{} // the newest call to each endpoint
 	for _, s := range sends {
 		h := x.held[string(s.ID)]
 		if h == nil {
 			continue
 		}
-		host := x.dir.host(s.Endpoint)
-		patience := x.moment(h.msg.Deadline) - now
+		host := x.directory.host(s.Endpoint)
+		timeout := x.moduleTime(h.message.Deadline) - now
 		if s.Timeout > 0 {
-			patience = min(patience, s.Timeout)
+			timeout = min(timeout, s.Timeout)
 		}
-		it := item{msg: h.msg, num: h.attempts}
+		a := attempt{message: h.message, number: h.attempts}
 		h.attempts++
 		x.counts.Attempts++
-		f := open[s.Endpoint]
-		if f == nil || len(f.items) >= x.batch(host.Kind) {
-			f = &flight{ep: s.Endpoint, sent: now, call: &Call{To: host.Peer}}
-			f.call.flight = f
-			open[s.Endpoint] = f
-			order = append(order, f)
+		call := open[s.Endpoint]
+		if call == nil || len(call.attempts) >= x.batchSize(host.Kind) {
+			call = &callInFlight{endpoint: s.Endpoint, sentAt: now, request: &Call{To: host.Peer}}
+			call.request.inFlight = call
+			open[s.Endpoint] = call
+			calls = append(calls, call)
 		}
-		f.items = append(f.items, it)
-		f.call.Timeout = max(f.call.Timeout, patience)
-		if by := x.clock(now + s.WriteWithin); s.WriteWithin > 0 && (f.call.WriteBy.IsZero() || by.Before(f.call.WriteBy)) {
-			f.call.WriteBy = by
+		call.attempts = append(call.attempts, a)
+		call.request.Timeout = max(call.request.Timeout, timeout)
+		by := x.wallTime(now + s.WriteWithin)
+		if s.WriteWithin > 0 && (call.request.WriteBy.IsZero() || by.Before(call.request.WriteBy)) {
+			call.request.WriteBy = by
 		}
 	}
-	for _, f := range order {
-		x.start(f)
+	for _, call := range calls {
+		x.startCall(call)
 	}
 }
 
-func (x *Exchange) batch(kind int) int {
+// batchSize returns how many messages a call to an endpoint of this kind may carry.
+func (x *Exchange) batchSize(kind int) int {
 	if kind >= 0 && kind < len(x.cfg.Settings.Kinds) {
 		return max(1, x.cfg.Settings.Kinds[kind].Batch)
 	}
 	return 1
 }
 
-// start records a call and hands it out. One that must not or cannot go out ends at once as not sent.
-func (x *Exchange) start(f *flight) {
-	host := x.dir.host(f.ep)
+// startCall records a call and passes it to the endpoint side. A call that must not or cannot be made ends at once as
+// not sent.
+func (x *Exchange) startCall(call *callInFlight) {
+	host := x.directory.host(call.endpoint)
 	var ids []string
-	var nums []int
+	var numbers []int
 	misrouted := host.Addr == ""
-	for _, it := range f.items {
-		f.call.Items = append(f.call.Items, it.msg)
-		f.call.Timeout = min(f.call.Timeout, x.moment(it.msg.Deadline)-f.sent)
-		ids, nums = append(ids, it.msg.ID), append(nums, it.num)
-		misrouted = misrouted || it.msg.Dest != host.Dest
+	for _, a := range call.attempts {
+		call.request.Items = append(call.request.Items, a.message)
+		call.request.Timeout = min(call.request.Timeout, x.moduleTime(a.message.Deadline)-call.sentAt)
+		ids = append(ids, a.message.ID)
+		numbers = append(numbers, a.number)
+		misrouted = misrouted || a.message.Dest != host.Dest
 	}
-	f.due = f.sent + f.call.Timeout
+	call.timeoutAt = call.sentAt + call.request.Timeout
 	if misrouted {
-		x.cfg.Log.Error("a call to an endpoint of another destination was held back", "endpoint", host.Name)
+		x.cfg.Log.Error("call not sent: the endpoint is not known or belongs to another destination", "endpoint", host.Name)
 	}
-	if misrouted || x.record(x.cfg.Ledger.RecordCall(ids, nums, host.Name, time.Now())) != nil {
-		for i := range f.items {
-			x.ended(f, i, ItemResult{Outcome: rules.NotSent})
+	if misrouted || x.countRecordError(x.cfg.Ledger.RecordCall(ids, numbers, host.Name, time.Now())) != nil {
+		for i := range call.attempts {
+			x.onAttemptEnded(call, i, ItemResult{Outcome: rules.NotSent})
 		}
 		return
 	}
 	x.counts.Calls++
-	x.flights = append(x.flights, f)
-	x.trace("call", func() []any { return []any{"ids", ids, "attempts", nums, "endpoint", host.Name, "dest", host.Dest} })
-	f.handle = x.cfg.Caller.Start(f.call)
+	x.callsInFlight = append(x.callsInFlight, call)
+	x.trace("call", func() []any {
+		return []any{"ids", ids, "attempts", numbers, "endpoint", host.Name, "dest", host.Dest}
+	})
+	call.handle = x.cfg.Caller.Start(call.request)
 }
 
-// expire gives up the calls whose time is over.
-func (x *Exchange) expire(now time.Duration) {
-	x.giveUpAll(rules.TimedOut, func(f *flight) bool { return f.due <= now })
+// expireCalls abandons the calls that have timed out.
+func (x *Exchange) expireCalls(now time.Duration) {
+	x.abandonCalls(rules.TimedOut, func(call *callInFlight) bool { return call.timeoutAt <= now })
 }
 
-// giveUpAll gives up the calls that are meant.
-func (x *Exchange) giveUpAll(why rules.Outcome, meant func(*flight) bool) {
-	for _, f := range slices.Clone(x.flights) {
-		if !f.quit && meant(f) {
-			x.giveUp(f, why)
+// abandonCalls abandons the calls that match.
+func (x *Exchange) abandonCalls(as rules.Outcome, matches func(*callInFlight) bool) {
+	for _, call := range slices.Clone(x.callsInFlight) {
+		if !call.abandoned && matches(call) {
+			x.abandon(call, as)
 		}
 	}
 }
 
-// recall calls back the call that is meant.
-func (x *Exchange) recall(meant func(*flight) bool) {
-	if i := slices.IndexFunc(x.flights, meant); i >= 0 {
-		x.callBack(x.flights[i])
+// recallCall tries to recall the oldest call that matches.
+func (x *Exchange) recallCall(matches func(*callInFlight) bool) {
+	if i := slices.IndexFunc(x.callsInFlight, matches); i >= 0 {
+		x.tryRecall(x.callsInFlight[i])
 	}
 }
 
-// callBack ends a call if the endpoint side can still do so: none of its messages has been sent. Its slot is free at once.
-func (x *Exchange) callBack(f *flight) bool {
-	if !f.handle.Recall() {
+// tryRecall recalls a call if it is not fully written. Its attempts end as not sent, and its slot is free at once.
+func (x *Exchange) tryRecall(call *callInFlight) bool {
+	if !call.handle.Recall() {
 		return false
 	}
 	x.counts.Recalled++
-	x.finished(f, Result{Items: slices.Repeat([]ItemResult{{Outcome: rules.NotSent, Recalled: true}}, len(f.items))})
+	recalled := ItemResult{Outcome: rules.NotSent, Recalled: true}
+	x.onCallFinished(call, Result{Items: slices.Repeat([]ItemResult{recalled}, len(call.attempts))})
 	return true
 }
 
-// giveUp ends the wait for a call, with all its messages. One that holds several and is not written yet is called back:
-// what has not ended goes out again, at no cost of an attempt. Else the connection is closed, and the result tells whether
-// it was written. Guards against a call that stays out when one of its messages has had its final answer, or goes elsewhere:
-// a peer may count it as given up from then on, whatever it answers the others, and the next attempt would be a second copy.
-// It hurts others that may not be repeated and whose answer was still to come.
-func (x *Exchange) giveUp(f *flight, why rules.Outcome) {
-	if len(f.items) > 1 && x.callBack(f) {
+// abandon stops waiting for a call and all its messages. A call that carries several messages and is not fully written
+// is recalled: those of its messages that have not ended go out again, and no attempt is counted against them.
+// Otherwise the connection is closed, and the result shows whether the call was written.
+//
+// This guards against a call that stays in flight after one of its messages got its final answer or went to another
+// endpoint. The peer may count the whole call as abandoned from then on, whatever it answers for the other messages, so
+// that their next attempt would be a second copy. The cost falls on messages of the same call that must not be repeated
+// and whose answer was still to come.
+func (x *Exchange) abandon(call *callInFlight, as rules.Outcome) {
+	if len(call.attempts) > 1 && x.tryRecall(call) {
 		return
 	}
-	f.quit, f.ends = true, why
-	f.handle.Cancel()
+	call.abandoned = true
+	call.abandonedAs = as
+	call.handle.Cancel()
 }
 
-// finished takes the result of a call.
-func (x *Exchange) finished(f *flight, r Result) {
-	i := slices.Index(x.flights, f)
-	if i < 0 {
+// onCallFinished processes the result of a call. A result for a call that is no longer in flight is ignored.
+func (x *Exchange) onCallFinished(call *callInFlight, r Result) {
+	pos := slices.Index(x.callsInFlight, call)
+	if pos < 0 {
 		return
 	}
-	x.flights = slices.Delete(x.flights, i, i+1)
-	for i := range f.items {
-		res := ItemResult{Outcome: rules.Reset}
+	x.callsInFlight = slices.Delete(x.callsInFlight, pos, pos+1)
+	for i := range call.attempts {
+		item := ItemResult{Outcome: rules.Reset} // may have run, unless the result says otherwise
 		if i < len(r.Items) {
-			res = r.Items[i]
+			item = r.Items[i]
 		}
 		switch {
-		case !f.quit || res.Outcome != rules.Cancelled:
+		case !call.abandoned || item.Outcome != rules.Cancelled:
 		case r.Written:
-			res.Outcome = f.ends
-		case f.ends == rules.TimedOut:
-			res.Outcome = rules.ConnectError
+			item.Outcome = call.abandonedAs
+		case call.abandonedAs == rules.TimedOut:
+			item.Outcome = rules.ConnectError
 		default:
-			res.Outcome = rules.NotSent
+			item.Outcome = rules.NotSent
 		}
-		x.ended(f, i, res)
+		x.onAttemptEnded(call, i, item)
 	}
 }
 
-// ended tells the module how an attempt ended, and books it.
-func (x *Exchange) ended(f *flight, i int, r ItemResult) {
-	it := &f.items[i]
+// onAttemptEnded counts and records how an attempt ended, ends its message if that is finished, and queues the event
+// for the module.
+func (x *Exchange) onAttemptEnded(call *callInFlight, i int, r ItemResult) {
+	a := &call.attempts[i]
 	x.counts.Outcomes[r.Outcome]++
-	h := x.held[it.msg.ID]
-	over := h == nil
+	h := x.held[a.message.ID]
+	finished := h == nil
 	switch {
-	case over:
+	case finished:
 	case r.Outcome == rules.OK:
 		x.counts.Delivered++
-		x.delivered(h)
-		over = true
+		x.onDelivered(h)
+		finished = true
 	case r.Finished:
 		x.counts.FinishedElsewhere++
-		x.over(h)
-		over = true
+		x.finish(h)
+		finished = true
 	default:
-		x.record(x.cfg.Ledger.RecordOutcome(it.msg.ID, it.num, r.Outcome.MayHaveRun(), failed(r)))
+		mayHaveRun := r.Outcome.MayHaveRun()
+		x.countRecordError(x.cfg.Ledger.RecordOutcome(a.message.ID, a.number, mayHaveRun, indicatesFailure(r)))
 	}
 	x.trace("outcome", func() []any {
-		return []any{"id", it.msg.ID, "attempt", it.num, "endpoint", x.dir.host(f.ep).Name, "outcome", outcomeNames[r.Outcome],
-			"elapsed", x.now() - f.sent, "wait", r.RetryAfter, "over", over}
+		return []any{"id", a.message.ID, "attempt", a.number, "endpoint", x.directory.host(call.endpoint).Name,
+			"outcome", outcomeNames[r.Outcome], "elapsed", x.now() - call.sentAt, "wait", r.RetryAfter, "over", finished}
+	})
+	x.events = append(x.events, rules.AttemptEnded{
+		ID:                     rules.MessageID(a.message.ID),
+		Attempt:                a.number,
+		Endpoint:               call.endpoint,
+		Outcome:                r.Outcome,
+		Elapsed:                x.now() - call.sentAt,
+		Finished:               finished,
+		RetryAfter:             r.RetryAfter,
+		NoFreeSlot:             r.NoFreeSlot,
+		ConnectionLimitReached: r.ConnectionLimitReached,
+		Recalled:               r.Recalled,
+		Report:                 r.Report,
 	})
-	x.events = append(x.events, rules.AttemptEnded{ID: rules.MessageID(it.msg.ID), Attempt: it.num, Endpoint: f.ep,
-		Outcome: r.Outcome, Elapsed: x.now() - f.sent, Finished: over, RetryAfter: r.RetryAfter, NoFreeSlot: r.NoFreeSlot, ConnectionLimitReached: r.ConnectionLimitReached, Recalled: r.Recalled, Report: r.Report})
 }
 
-// delivered ends a message that an endpoint has accepted. One accepted as its time ran out, or after it and before the step that
-// would have given it up, is told of as well: the platform counts its time from when the client sent it, and an answer that was
-// late by that is no end; a notice of what is over does no harm. Guards against a message that each side takes for ended by
-// the other; it costs a notice, and tells a client of doubt where the answer was just in time.
-func (x *Exchange) delivered(h *held) {
-	if time.Until(h.msg.Deadline) > lastMoment {
-		x.over(h)
+// onDelivered ends a message that an endpoint has accepted. If that happened as the message's time ran out, or after it
+// and before the step that would have abandoned the call, the message also gets a notice. The platform counts the time
+// from when the client sent the message, and does not accept an answer that was late by that clock as the message's
+// end; a notice for a message that has ended does no harm. This guards against a message that the sender and the
+// platform each take for ended by the other. It costs a notice, and reports a doubtful end to a client whose answer was
+// just in time.
+func (x *Exchange) onDelivered(h *heldMessage) {
+	if time.Until(h.message.Deadline) > deadlineSlack {
+		x.finish(h)
 		return
 	}
-	x.tell(h, ledger.Notice{ID: h.msg.ID, Dead: true})
+	x.notify(h, ledger.Notice{ID: h.message.ID, Dead: true})
 }
 
-// lastMoment is how far the platform's clock for a message may be ahead of this one's, which starts as the request is read: the slack
-// that the protocol gives every limit.
-const lastMoment = 50 * time.Millisecond
-
-// failed tells whether a result speaks of an endpoint in trouble rather than of a limit or a full table.
-func failed(r ItemResult) bool {
+// indicatesFailure reports whether a result indicates a fault of the endpoint, and not a rate limit or its connection
+// limit.
+func indicatesFailure(r ItemResult) bool {
 	return r.Outcome.MayHaveRun() || r.Outcome == rules.ConnectError && !r.ConnectionLimitReached
 }
