--- a/internal/exchange/directory.go
+++ b/internal/exchange/directory.go
@@ -1,5 +1,5 @@
-// This file owns the IDs by which the decision module knows endpoints. It must never assign an ID twice, nor forget one
-// before the module has: a call to an endpoint may end long after the endpoint left the list.
+// This file owns the IDs by which the decision module knows endpoints. It must never assign an ID twice, nor forget
+// one before the module has: a call to an endpoint may end long after the endpoint left the list.
 
 package exchange
 
@@ -15,8 +15,8 @@
 )
 
 // directory assigns endpoint IDs for the module and stores how to reach the endpoints. A list may hold hundreds of
-// thousands of endpoints, and most of them never get a call. Each costs a row of 24 bytes, an index entry and the bytes
-// of its name and address.
+// thousands of endpoints, and most of them never get a call. Each costs a row of 24 bytes, an index entry and the
+// bytes of its name and address.
 type directory struct {
 	lastID     rules.EndpointID
 	rows       []row // ordered by ID
--- a/internal/exchange/directory_test.go
+++ b/internal/exchange/directory_test.go
@@ -13,7 +13,7 @@
 	"eiderhaven/rules"
 )
 
-// plain is a directory as two maps, which is what the compact one must come to.
+// referenceDirectory does what directory does, with plain maps.
 type referenceDirectory struct {
 	lastID rules.EndpointID
 	ids    map[string]rules.EndpointID
@@ -21,9 +21,9 @@
 	dests  map[int]bool
 }
 
-func (d *referenceDirectory) update(l Listing) (out rules.ListUpdate, left []Peer) {
+func (d *referenceDirectory) update(l Listing) (out rules.ListUpdate, unreachable []Peer) {
 	out = rules.ListUpdate{Whole: l.Whole, Entries: []rules.Entry{}}
-	named := map[rules.EndpointID]bool{}
+	listed := map[rules.EndpointID]bool{}
 	for _, h := range l.Hosts {
 		id := d.ids[h.Name]
 		old := d.hosts[id]
@@ -39,28 +39,38 @@
 			id = d.lastID
 			d.ids[h.Name] = id
 		} else if h.Gone || old.Addr != h.Addr {
-			left = append(left, old.Peer)
+			unreachable = append(unreachable, old.Peer)
 		}
-		named[id], d.hosts[id], d.dests[h.Dest] = true, h, true
-		out.Entries = append(out.Entries, rules.Entry{Endpoint: id, Destination: h.Dest, Kind: h.Kind, Zone: h.Zone, ListedRate: h.Rate,
-			Draining: h.Draining && !h.Gone, Gone: h.Gone})
+		listed[id] = true
+		d.hosts[id] = h
+		d.dests[h.Dest] = true
+		out.Entries = append(out.Entries, rules.Entry{
+			Endpoint:    id,
+			Destination: h.Dest,
+			Kind:        h.Kind,
+			Zone:        h.Zone,
+			ListedRate:  h.Rate,
+			Draining:    h.Draining && !h.Gone,
+			Gone:        h.Gone,
+		})
 	}
 	if l.Whole {
 		for _, id := range slices.Sorted(maps.Keys(d.hosts)) {
-			if !named[id] {
-				left = append(left, d.hosts[id].Peer)
+			if !listed[id] {
+				unreachable = append(unreachable, d.hosts[id].Peer)
 			}
 		}
 	}
-	return out, left
+	return out, unreachable
 }
 
-// Over random lists, whole and as changes, with endpoints that drain, leave, move, come back, are named twice and are forgotten,
-// some of them with names and numbers that fit no row, a directory says what two plain maps say.
-func TestADirectorySaysWhatPlainMapsSay(t *testing.T) {
+// TestDirectoryMatchesReference compares a directory with plain maps over random whole lists and changes. Endpoints
+// drain, leave, move, come back, are listed twice and are forgotten. Some have names or numbers that do not fit a
+// row.
+func TestDirectoryMatchesReference(t *testing.T) {
 	for seed := range uint64(10) {
 		rng := rand.New(rand.NewPCG(seed, 0))
-		size := 3 << seed // to 1,500
+		size := 3 << seed // up to 1,536 endpoints
 		name := func() string {
 			n := rng.IntN(size)
 			if n%97 == 5 {
@@ -68,12 +78,24 @@
 			}
 			return fmt.Sprint("s-", n)
 		}
-		d, want := newDirectory(), &referenceDirectory{ids: map[string]rules.EndpointID{}, hosts: map[rules.EndpointID]Host{}, dests: map[int]bool{}}
+		d := newDirectory()
+		want := &referenceDirectory{
+			ids:   map[string]rules.EndpointID{},
+			hosts: map[rules.EndpointID]Host{},
+			dests: map[int]bool{},
+		}
 		for step := range 60 {
 			l := Listing{Whole: rng.IntN(4) == 0}
 			for range rng.IntN(1 + size) {
-				h := Host{Peer: Peer{name(), fmt.Sprint("10.0.0.1:", rng.IntN(3))}, Dest: rng.IntN(300) - 100, Kind: rng.IntN(4), Zone: rng.IntN(8),
-					Rate: rng.Float64(), Draining: rng.IntN(8) == 0, Gone: rng.IntN(6) == 0}
+				h := Host{
+					Peer:     Peer{name(), fmt.Sprint("10.0.0.1:", rng.IntN(3))},
+					Dest:     rng.IntN(300) - 100,
+					Kind:     rng.IntN(4),
+					Zone:     rng.IntN(8),
+					Rate:     rng.Float64(),
+					Draining: rng.IntN(8) == 0,
+					Gone:     rng.IntN(6) == 0,
+				}
 				switch rng.IntN(100) {
 				case 0:
 					h.Dest = 1<<40 + rng.IntN(9)
@@ -86,9 +108,9 @@
 				}
 				l.Hosts = append(l.Hosts, h)
 			}
-			got, left := d.update(l)
-			wantOut, wantLeft := want.update(l)
-			if diff := cmp.Diff(wantOut, got) + cmp.Diff(wantLeft, left); diff != "" {
+			got, unreachable := d.update(l)
+			wantUpdate, wantUnreachable := want.update(l)
+			if diff := cmp.Diff(wantUpdate, got) + cmp.Diff(wantUnreachable, unreachable); diff != "" {
 				t.Fatalf("seed %d, step %d: %s", seed, step, diff)
 			}
 			for id := range want.hosts {
@@ -108,19 +130,22 @@
 					t.Fatalf("seed %d, step %d: host %d is %.60v, want %.60v", seed, step, id, got, h)
 				}
 				if n := d.idByName(h.Name); n != want.ids[h.Name] {
-					t.Fatalf("seed %d, step %d: %.30q has number %d, want %d", seed, step, h.Name, n, want.ids[h.Name])
+					t.Fatalf("seed %d, step %d: %.30q has ID %d, want %d", seed, step, h.Name, n, want.ids[h.Name])
 				}
 			}
 			for dest := -130; dest < 230; dest++ {
 				if d.knowsDest(dest) != want.dests[dest] {
-					t.Fatalf("seed %d, step %d: destination %d is known: %v", seed, step, dest, d.knowsDest(dest))
+					t.Fatalf("seed %d, step %d: destination %d known: %v", seed, step, dest, d.knowsDest(dest))
 				}
 			}
-			if odd := slices.DeleteFunc(slices.Clone(d.rows), func(r row) bool { return r.kind != overflowKind }); len(odd) != len(d.overflow) {
-				t.Fatalf("seed %d, step %d: %d hosts kept of %d that do not fit", seed, step, len(d.overflow), len(odd))
+			overflowRows := slices.DeleteFunc(slices.Clone(d.rows), func(r row) bool { return r.kind != overflowKind })
+			if len(overflowRows) != len(d.overflow) {
+				t.Fatalf("seed %d, step %d: %d overflow hosts for %d rows that need one",
+					seed, step, len(d.overflow), len(overflowRows))
 			}
 			if len(d.rows) > 2*len(want.hosts)+64 || d.arena.size > 2*(d.arena.size-d.arena.deadBytes)+chunkSize {
-				t.Fatalf("seed %d, step %d: %d rows for %d endpoints, %d bytes of text, %d of them dead", seed, step, len(d.rows), len(want.hosts), d.arena.size, d.arena.deadBytes)
+				t.Fatalf("seed %d, step %d: %d rows for %d endpoints, %d bytes in the arena, %d of them dead",
+					seed, step, len(d.rows), len(want.hosts), d.arena.size, d.arena.deadBytes)
 			}
 		}
 	}
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -27,8 +27,8 @@
 	Stopped                  // the exchange has stopped; otherwise like Refused
 )
 
-// Answer is the verdict on a message. If the message was refused, RetryAfter is how long the client should wait before
-// it submits the message again, or 0 if there is no advice.
+// Answer is the verdict on a message. If the message was refused, RetryAfter is how long the client should wait
+// before it submits the message again, or 0 if there is no advice.
 type Answer struct {
 	Verdict    Verdict
 	RetryAfter time.Duration
@@ -67,9 +67,9 @@
 type Handle interface {
 	// Cancel abandons the call, whatever its progress. Its result is still passed to Exchange.Finish.
 	Cancel()
-	// Recall withdraws the call unless its last byte has been written or is being written. If it returns true, the call
-	// has not reached the endpoint and never will, and a result that is still passed in is ignored. If it returns false,
-	// the call goes on.
+	// Recall withdraws the call unless its last byte has been written or is being written. If it returns true, the
+	// call has not reached the endpoint and never will, and a result that is still passed in is ignored. If it
+	// returns false, the call goes on.
 	Recall() bool
 }
 
@@ -230,8 +230,8 @@
 	})
 }
 
-// tenantIndex returns the module's index of a tenant. A message whose tenant is not configured gets the index after the
-// last one, so that it does not count towards any tenant's quota.
+// tenantIndex returns the module's index of a tenant. A message whose tenant is not configured gets the index after
+// the last one, so that it does not count towards any tenant's quota.
 func (x *Exchange) tenantIndex(name string) int {
 	if i, known := x.tenants[name]; known {
 		return i
@@ -258,8 +258,8 @@
 	}
 }
 
-// Submit submits a message and waits for the answer. It comes after the step that handles the message, which is within
-// two ticks.
+// Submit submits a message and waits for the answer. It comes after the step that handles the message, which is
+// within two ticks.
 func (x *Exchange) Submit(m *message.Message) Answer {
 	reply := make(chan Answer, 1)
 	if !x.post(func() { x.accept(m, reply) }) {
@@ -310,8 +310,8 @@
 	x.post(func() { x.events = append(x.events, rules.DiscoveryFailed{}) })
 }
 
-// ReserveListSpace asks the ledger to reserve space in the state directory for the list of endpoints, and waits for the
-// answer. See [ledger.Ledger.ReserveListSpace].
+// ReserveListSpace asks the ledger to reserve space in the state directory for the list of endpoints, and waits for
+// the answer. See [ledger.Ledger.ReserveListSpace].
 func (x *Exchange) ReserveListSpace(bytes int64) bool {
 	reply := make(chan bool, 1)
 	if !x.post(func() { reply <- x.cfg.Ledger.ReserveListSpace(bytes) }) {
@@ -374,8 +374,8 @@
 	}
 }
 
-// runQueuedTasks runs the tasks that are queued by now. Tasks that are queued meanwhile wait for the next time, so that
-// a flood of tasks cannot keep the module from its step.
+// runQueuedTasks runs the tasks that are queued by now. Tasks that are queued meanwhile wait for the next time, so
+// that a flood of tasks cannot keep the module from its step.
 func (x *Exchange) runQueuedTasks() {
 	for range len(x.tasks) {
 		(<-x.tasks)()
--- a/internal/exchange/kill_test.go
+++ b/internal/exchange/kill_test.go
@@ -13,14 +13,14 @@
 	"eiderhaven/rules"
 )
 
-// deed is something done towards the outside, with how much of the ledger was written by then.
+// externalAction is something that the sender did towards the outside.
 type externalAction struct {
-	kind       string // "taken", "called", "delivered", "told"
+	kind       string // "accepted", "called", "delivered" or "notified"
 	id         string
-	ledgerSize int64
+	ledgerSize int64 // bytes of the ledger written by then
 }
 
-// segment is the one file of a ledger that has not turned yet.
+// onlySegment returns the path of the only segment of a ledger that has not been rotated yet.
 func onlySegment(t *testing.T, dir string) string {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(dir, "*.seg"))
@@ -30,12 +30,13 @@
 	return files[0]
 }
 
-// A sender killed at any byte of its ledger, between two records or within one, leaves the truth behind: what a client heard as taken on
-// is held, told of (again, as no notice was accepted), or was delivered; a payment whose call had gone out and has no outcome is told as dead and not sent again; one
-// whose call had not gone out is sent; and nothing that was delivered is.
+// TestKilledAtEachRecord cuts the ledger of a sender after each record and within records, as a kill does, and starts
+// a new process on what is left. A message whose client was told that it is accepted must be held, notified (again,
+// as no notice was accepted) or delivered. A payment with a call in flight must be notified as dead and not be sent
+// again; one without must be sent. Nothing that was delivered may be sent again.
 func TestKilledAtEachRecord(t *testing.T) {
-	w := newHarness(t, t.TempDir(), nil)
-	path := onlySegment(t, w.dir)
+	h := newHarness(t, t.TempDir(), nil)
+	path := onlySegment(t, h.dir)
 	size := func() int64 {
 		info, err := os.Stat(path)
 		if err != nil {
@@ -44,105 +45,109 @@
 		return info.Size()
 	}
 	var done []externalAction
-	var stops []int64 // after each step: records stand before and behind each of these
-	note := func(what, id string) { done = append(done, externalAction{what, id, size()}) }
-	w.endpoints.onStart = func(c *Call) {
+	var cuts []int64 // after each step; there are records before and after each of these
+	note := func(kind, id string) { done = append(done, externalAction{kind, id, size()}) }
+	h.endpoints.onStart = func(c *Call) {
 		for _, m := range c.Items {
 			note("called", m.ID)
 		}
 	}
-	w.Recover()
+	h.Recover()
 	step := func() {
-		w.step()
-		stops = append(stops, size())
+		h.step()
+		cuts = append(cuts, size())
 	}
 	for i, class := range []string{"payment", "stock", "payment", "payment", "stock"} {
 		reply, id := make(chan Answer, 1), fmt.Sprint("m", i)
-		w.Exchange.accept(newMessage(id, class, 1), reply)
-		stops = append(stops, size())
-		w.advanceClock(time.Second)
+		h.Exchange.accept(newMessage(id, class, 1), reply)
+		cuts = append(cuts, size())
+		h.advanceClock(time.Second)
 		step()
 		if (<-reply).Verdict == Accepted {
-			note("taken", id)
+			note("accepted", id)
 		}
 	}
-	for range 5 { // calls end, in the order in which they went out
-		c, o := testkit.Receive(t, w.endpoints.started, "call"), rules.OK
-		if c.Items[0].ID == "m2" || c.Items[0].ID == "m4" { // a payment, and one that goes out again
-			o = rules.Reset
+	for range 5 { // end the calls, in the order in which they started
+		c, outcome := testkit.Receive(t, h.endpoints.started, "call"), rules.OK
+		if c.Items[0].ID == "m2" || c.Items[0].ID == "m4" { // a payment, and a message that is sent again
+			outcome = rules.Reset
 		}
-		w.onCallFinished(c.inFlight, Result{Written: true, Items: slices.Repeat([]ItemResult{{Outcome: o}}, len(c.Items))})
-		stops = append(stops, size())
-		if o == rules.OK {
+		items := slices.Repeat([]ItemResult{{Outcome: outcome}}, len(c.Items))
+		h.onCallFinished(c.inFlight, Result{Written: true, Items: items})
+		cuts = append(cuts, size())
+		if outcome == rules.OK {
 			note("delivered", c.Items[0].ID)
 		}
 		step()
-		for len(w.platform.enqueued) > 0 {
-			note("told", (<-w.platform.enqueued).ID)
+		for len(h.platform.enqueued) > 0 {
+			note("notified", (<-h.platform.enqueued).ID)
 		}
 	}
-	w.ledger.Close()
-	if !slices.ContainsFunc(done, func(d externalAction) bool { return d.kind == "told" }) {
+	h.ledger.Close()
+	if !slices.ContainsFunc(done, func(a externalAction) bool { return a.kind == "notified" }) {
 		t.Fatalf("no notice among %+v", done)
 	}
-	text, err := os.ReadFile(path)
+	data, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for cut := int64(0); cut <= int64(len(text)); cut += 7 { // within records
-		stops = append(stops, cut)
+	for cut := int64(0); cut <= int64(len(data)); cut += 7 { // within records
+		cuts = append(cuts, cut)
 	}
-	for _, cut := range stops {
-		checkRestartAfterKill(t, text[:cut], done)
+	for _, cut := range cuts {
+		checkRestartAfterKill(t, data[:cut], done)
 	}
 }
 
-// killedAt starts a new process on the ledger as it stood, and compares what it does with what had been done by then.
-func checkRestartAfterKill(t *testing.T, text []byte, done []externalAction) {
+// checkRestartAfterKill starts a new process on the first bytes of a ledger, and compares what it does with what the
+// killed process had done by then.
+func checkRestartAfterKill(t *testing.T, data []byte, done []externalAction) {
 	t.Helper()
 	dir := t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, "00000001.seg"), text, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, "00000001.seg"), data, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	by := func(what, id string) bool {
-		return slices.ContainsFunc(done, func(d externalAction) bool { return d.kind == what && d.id == id && d.ledgerSize <= int64(len(text)) })
-	}
-	w := newHarness(t, dir, nil)
-	owed := map[string]ledger.PendingMessage{}
-	for _, o := range w.ledger.Pending() {
-		owed[o.Message.ID] = o
-	}
-	w.Recover()
-	w.advanceClock(time.Second)
-	w.step()
-	sent, told := map[string]bool{}, map[string]bool{}
-	for len(w.endpoints.started) > 0 {
-		for _, m := range (<-w.endpoints.started).Items {
+	did := func(kind, id string) bool {
+		return slices.ContainsFunc(done, func(a externalAction) bool {
+			return a.kind == kind && a.id == id && a.ledgerSize <= int64(len(data))
+		})
+	}
+	h := newHarness(t, dir, nil)
+	pending := map[string]ledger.PendingMessage{}
+	for _, p := range h.ledger.Pending() {
+		pending[p.Message.ID] = p
+	}
+	h.Recover()
+	h.advanceClock(time.Second)
+	h.step()
+	sent, notified := map[string]bool{}, map[string]bool{}
+	for len(h.endpoints.started) > 0 {
+		for _, m := range (<-h.endpoints.started).Items {
 			sent[m.ID] = true
 		}
 	}
-	for len(w.platform.enqueued) > 0 {
-		told[(<-w.platform.enqueued).ID] = true
+	for len(h.platform.enqueued) > 0 {
+		notified[(<-h.platform.enqueued).ID] = true
 	}
-	for i, once := range []bool{true, false, true, true, false} {
+	for i, atMostOnce := range []bool{true, false, true, true, false} {
 		id := fmt.Sprint("m", i)
-		o, held := owed[id]
+		p, held := pending[id]
 		switch {
-		case by("delivered", id) && (held || told[id]):
-			t.Errorf("killed at %d: %s was delivered and is still owed", len(text), id)
-		case by("told", id) && !told[id]:
-			t.Errorf("killed at %d: the notice of %s was not accepted and is not repeated", len(text), id)
-		case by("taken", id) && !held && !told[id] && !by("delivered", id):
-			t.Errorf("killed at %d: %s was taken on and is forgotten", len(text), id)
-		case held && once && by("called", id) && sent[id]:
-			t.Errorf("killed at %d: %s may have run and is sent again (%+v)", len(text), id, o)
-		case held && once && by("called", id) && !told[id]:
-			t.Errorf("killed at %d: %s may have run and is not told of", len(text), id)
-		case held && !o.MayHaveRun && !sent[id] && !told[id]:
-			t.Errorf("killed at %d: %s is untried and not sent", len(text), id)
+		case did("delivered", id) && (held || notified[id]):
+			t.Errorf("killed at %d: %s was delivered and has not ended", len(data), id)
+		case did("notified", id) && !notified[id]:
+			t.Errorf("killed at %d: the notice of %s was not accepted and is not repeated", len(data), id)
+		case did("accepted", id) && !held && !notified[id] && !did("delivered", id):
+			t.Errorf("killed at %d: %s was accepted and is forgotten", len(data), id)
+		case held && atMostOnce && did("called", id) && sent[id]:
+			t.Errorf("killed at %d: %s may have run and is sent again (%+v)", len(data), id, p)
+		case held && atMostOnce && did("called", id) && !notified[id]:
+			t.Errorf("killed at %d: %s may have run and there is no notice of it", len(data), id)
+		case held && !p.MayHaveRun && !sent[id] && !notified[id]:
+			t.Errorf("killed at %d: %s has not run and is not sent", len(data), id)
 		case !held && sent[id]:
-			t.Errorf("killed at %d: %s is over and sent", len(text), id)
+			t.Errorf("killed at %d: %s has ended and is sent", len(data), id)
 		}
 	}
-	w.ledger.Close()
+	h.ledger.Close()
 }
--- a/internal/exchange/observe.go
+++ b/internal/exchange/observe.go
@@ -1,5 +1,5 @@
-// This file owns what the log and the counters report of the module's decisions. It must never influence one, and must
-// never write a line per message above debug level.
+// This file owns what the log and the counters report of the module's decisions. It must never influence one, and
+// must never write a line per message above debug level.
 
 package exchange
 
@@ -13,8 +13,8 @@
 	"eiderhaven/rules"
 )
 
-// observe logs endpoint state changes and records them in the ledger for the next process. It also counts why messages
-// ended undelivered.
+// observe logs endpoint state changes and records them in the ledger for the next process. It also counts why
+// messages ended undelivered.
 func (x *Exchange) observe() {
 	o := x.sender.Observe()
 	x.counts.Deferred += o.Deferred
--- a/internal/exchange/observe_test.go
+++ b/internal/exchange/observe_test.go
@@ -10,63 +10,72 @@
 	"eiderhaven/rules"
 )
 
-// TestAMessageIsFollowedByItsID plays a message that fails until its endpoint is on probation, and reads what the log says.
-func TestAMessageIsFollowedByItsID(t *testing.T) {
-	w := newHarness(t, t.TempDir(), func(s *rules.Settings) { s.MaxAttempts = 4 })
-	var text bytes.Buffer
-	w.cfg.Log = slog.New(slog.NewTextHandler(&text, &slog.HandlerOptions{Level: slog.LevelDebug}))
-	w.Recover()
-	w.Exchange.accept(newMessage("m1", "stock", 1), make(chan Answer, 1))
-	for deadline := time.Now().Add(10 * time.Second); w.counts.Ended[rules.EndAttempts] == 0; {
+// failStartedCall ends one of the started calls, if there is one, with an error of the endpoint.
+func (h *harness) failStartedCall() {
+	select {
+	case c := <-h.endpoints.started:
+		h.onCallFinished(c.inFlight, Result{Written: true, Items: []ItemResult{{Outcome: rules.Errored}}})
+	default:
+	}
+}
+
+// TestTraceFollowsAMessage lets a message fail until its endpoint is on probation, and checks the log lines on the
+// way.
+func TestTraceFollowsAMessage(t *testing.T) {
+	h := newHarness(t, t.TempDir(), func(s *rules.Settings) { s.MaxAttempts = 4 })
+	var log bytes.Buffer
+	h.cfg.Log = slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelDebug}))
+	h.Recover()
+	h.Exchange.accept(newMessage("m1", "stock", 1), make(chan Answer, 1))
+	for deadline := time.Now().Add(10 * time.Second); h.counts.Ended[rules.EndAttempts] == 0; {
 		if time.Now().After(deadline) {
-			t.Fatalf("not ended; counters %+v\n%s", w.counts, &text)
-		}
-		w.advanceClock(500 * time.Millisecond)
-		w.step()
-		select {
-		case c := <-w.endpoints.started:
-			w.onCallFinished(c.inFlight, Result{Written: true, Items: []ItemResult{{Outcome: rules.Errored}}})
-		default:
+			t.Fatalf("message has not ended; counters %+v\n%s", h.counts, &log)
 		}
+		h.advanceClock(500 * time.Millisecond)
+		h.step()
+		h.failStartedCall()
 	}
-	for _, want := range []string{"msg=taken id=m1", "msg=call ids=[m1] attempts=[0] endpoint=s-1 dest=1", "msg=outcome id=m1 attempt=3",
-		"outcome=errored", `msg="endpoint state" endpoint=s-1 dest=1 from=healthy to=probation cause=failures failures=4`,
-		"msg=ended id=m1 reason=attempts"} {
-		if !strings.Contains(text.String(), want) {
-			t.Errorf("no %q in\n%s", want, &text)
+	for _, want := range []string{
+		"msg=taken id=m1",
+		"msg=call ids=[m1] attempts=[0] endpoint=s-1 dest=1",
+		"msg=outcome id=m1 attempt=3",
+		"outcome=errored",
+		`msg="endpoint state" endpoint=s-1 dest=1 from=healthy to=probation cause=failures failures=4`,
+		"msg=ended id=m1 reason=attempts",
+	} {
+		if !strings.Contains(log.String(), want) {
+			t.Errorf("no %q in\n%s", want, &log)
 		}
 	}
-	if line := w.snapshot().LogValue().String(); !strings.Contains(line, "ended_attempts=1") || w.counts.Transitions != 1 {
-		t.Errorf("counters %s", line)
+	counters := h.snapshot().LogValue().String()
+	if !strings.Contains(counters, "ended_attempts=1") || h.counts.Transitions != 1 {
+		t.Errorf("counters %s", counters)
 	}
 }
 
-// TestARestartRemembersAnOutage lets one of many senders find an endpoint out, and its next process hold a message back there.
-func TestARestartRemembersAnOutage(t *testing.T) {
-	many := func(s *rules.Settings) { s.Senders = 300 }
+// TestRestartRemembersOutage lets one of many senders detect that an endpoint is down. Its next process must hold
+// messages for that endpoint back, and only those.
+func TestRestartRemembersOutage(t *testing.T) {
+	manySenders := func(s *rules.Settings) { s.Senders = 300 }
 	dir := t.TempDir()
-	w := newHarness(t, dir, many)
-	w.Recover()
-	w.Exchange.accept(newMessage("m1", "stock", 1), make(chan Answer, 1))
-	for deadline := time.Now().Add(10 * time.Second); w.counts.Transitions == 0; {
+	h := newHarness(t, dir, manySenders)
+	h.Recover()
+	h.Exchange.accept(newMessage("m1", "stock", 1), make(chan Answer, 1))
+	for deadline := time.Now().Add(10 * time.Second); h.counts.Transitions == 0; {
 		if time.Now().After(deadline) {
-			t.Fatalf("the endpoint is still well; counters %+v", w.counts)
-		}
-		w.advanceClock(100 * time.Millisecond)
-		w.step()
-		select {
-		case c := <-w.endpoints.started:
-			w.onCallFinished(c.inFlight, Result{Written: true, Items: []ItemResult{{Outcome: rules.Errored}}})
-		default:
+			t.Fatalf("the endpoint still counts as healthy; counters %+v", h.counts)
 		}
+		h.advanceClock(100 * time.Millisecond)
+		h.step()
+		h.failStartedCall()
 	}
-	w.ledger.Close()
+	h.ledger.Close()
 	for _, c := range []struct {
 		host string
 		dest int
 		held bool
 	}{{"s-1", 1, true}, {"s-2", 2, false}} {
-		next := newHarness(t, dir, many)
+		next := newHarness(t, dir, manySenders)
 		next.Recover()
 		next.Exchange.accept(newMessage("new for "+c.host, "stock", c.dest), make(chan Answer, 1))
 		next.step()
--- a/internal/exchange/step.go
+++ b/internal/exchange/step.go
@@ -1,6 +1,6 @@
 // This file performs one step: it passes the collected events to the module, records and carries out the actions that
-// the module returns, and processes the results of calls. It owns the calls in flight. It must never start a call that
-// the ledger has not recorded, nor choose between two actions.
+// the module returns, and processes the results of calls. It owns the calls in flight. It must never start a call
+// that the ledger has not recorded, nor choose between two actions.
 
 package exchange
 
@@ -17,8 +17,8 @@
 // request is read. It is the slack that the protocol gives every time limit.
 const deadlineSlack = 50 * time.Millisecond
 
-// callInFlight is a call that has started and has no result yet. It is answered, recalled or abandoned as a whole, with
-// all its messages.
+// callInFlight is a call that has started and has no result yet. It is answered, recalled or abandoned as a whole,
+// with all its messages.
 type callInFlight struct {
 	request     *Call
 	handle      Handle
@@ -27,7 +27,7 @@
 	attempts    []attempt
 	timeoutAt   time.Duration // longest timeout of its attempts, but no later than its messages' first deadline
 	abandoned   bool
-	abandonedAs rules.Outcome // the outcome of an abandoned call, if it may have reached the endpoint
+	abandonedAs rules.Outcome // outcome of the call if it was abandoned after it was written
 }
 
 // attempt is one message's part in one call.
@@ -140,8 +140,8 @@
 	x.unanswered = x.unanswered[:0]
 }
 
-// withCurrentTimes sets a message's times as of this step, because the module counts from the step and time has passed
-// since the message came. Otherwise the module would take the message for alive when its call has already been
+// withCurrentTimes sets a message's times as of this step, because the module counts from the step and time has
+// passed since the message came. Otherwise the module would take the message for alive when its call has already been
 // abandoned, and would let a repeat leave that much later than the window of its key allows.
 func (x *Exchange) withCurrentTimes(a rules.Arrived, now time.Duration) rules.Arrived {
 	h := x.held[string(a.ID)]
@@ -213,8 +213,8 @@
 	x.cfg.Platform.EnqueueNotice(n)
 }
 
-// countRecordError counts a record that the ledger could not write, and returns the error. The first one is logged. The
-// sender goes on without the record.
+// countRecordError counts a record that the ledger could not write, and returns the error. The first one is logged.
+// The sender goes on without the record.
 func (x *Exchange) countRecordError(err error) error {
 	if err != nil {
 		if x.counts.RecordsFailed == 0 {
@@ -289,7 +289,8 @@
 	}
 	call.timeoutAt = call.sentAt + call.request.Timeout
 	if misrouted {
-		x.cfg.Log.Error("call not sent: the endpoint is not known or belongs to another destination", "endpoint", host.Name)
+		x.cfg.Log.Error("call not sent: the endpoint is not known or belongs to another destination",
+			"endpoint", host.Name)
 	}
 	if misrouted || x.countRecordError(x.cfg.Ledger.RecordCall(ids, numbers, host.Name, time.Now())) != nil {
 		for i := range call.attempts {
@@ -337,14 +338,14 @@
 	return true
 }
 
-// abandon stops waiting for a call and all its messages. A call that carries several messages and is not fully written
-// is recalled: those of its messages that have not ended go out again, and no attempt is counted against them.
-// Otherwise the connection is closed, and the result shows whether the call was written.
+// abandon stops waiting for a call and all its messages. A call that carries several messages and is not fully
+// written is recalled: those of its messages that have not ended go out again, and no attempt is counted against
+// them. Otherwise the connection is closed, and the result shows whether the call was written.
 //
 // This guards against a call that stays in flight after one of its messages got its final answer or went to another
-// endpoint. The peer may count the whole call as abandoned from then on, whatever it answers for the other messages, so
-// that their next attempt would be a second copy. The cost falls on messages of the same call that must not be repeated
-// and whose answer was still to come.
+// endpoint. The peer may count the whole call as abandoned from then on, whatever it answers for the other messages,
+// so that their next attempt would be a second copy. The cost falls on messages of the same call that must not be
+// repeated and whose answer was still to come.
 func (x *Exchange) abandon(call *callInFlight, as rules.Outcome) {
 	if len(call.attempts) > 1 && x.tryRecall(call) {
 		return
@@ -401,8 +402,11 @@
 		x.countRecordError(x.cfg.Ledger.RecordOutcome(a.message.ID, a.number, mayHaveRun, indicatesFailure(r)))
 	}
 	x.trace("outcome", func() []any {
-		return []any{"id", a.message.ID, "attempt", a.number, "endpoint", x.directory.host(call.endpoint).Name,
-			"outcome", outcomeNames[r.Outcome], "elapsed", x.now() - call.sentAt, "wait", r.RetryAfter, "over", finished}
+		return []any{
+			"id", a.message.ID, "attempt", a.number, "endpoint", x.directory.host(call.endpoint).Name,
+			"outcome", outcomeNames[r.Outcome], "elapsed", x.now() - call.sentAt,
+			"wait", r.RetryAfter, "over", finished,
+		}
 	})
 	x.events = append(x.events, rules.AttemptEnded{
 		ID:                     rules.MessageID(a.message.ID),
@@ -419,12 +423,12 @@
 	})
 }
 
-// onDelivered ends a message that an endpoint has accepted. If that happened as the message's time ran out, or after it
-// and before the step that would have abandoned the call, the message also gets a notice. The platform counts the time
-// from when the client sent the message, and does not accept an answer that was late by that clock as the message's
-// end; a notice for a message that has ended does no harm. This guards against a message that the sender and the
-// platform each take for ended by the other. It costs a notice, and reports a doubtful end to a client whose answer was
-// just in time.
+// onDelivered ends a message that an endpoint has accepted. If that happened as the message's time ran out, or after
+// it and before the step that would have abandoned the call, the message also gets a notice. The platform counts the
+// time from when the client sent the message, and does not accept an answer that was late by that clock as the
+// message's end; a notice for a message that has ended does no harm. This guards against a message that the sender
+// and the platform each take for ended by the other. It costs a notice, and reports a doubtful end to a client whose
+// answer was just in time.
 func (x *Exchange) onDelivered(h *heldMessage) {
 	if time.Until(h.message.Deadline) > deadlineSlack {
 		x.finish(h)
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,12 +1,12 @@
 // Package ledger keeps in the state directory what the sender must not lose when its process ends: the accepted
 // messages, the calls made for them, their ends, and the notices that the platform has not accepted yet. It owns that
-// directory and the limit on its size. It must never decide what becomes of a message, exceed the limit, or be used by
-// two goroutines at once.
+// directory and the limit on its size. It must never decide what becomes of a message, exceed the limit, or be used
+// by two goroutines at once.
 //
-// The directory holds numbered segments of checksummed records (see record.go). Only the newest segment is written to.
-// The oldest is removed once nothing in it is needed any more. Compaction gets there by copying: it writes what is still
-// needed of the oldest segment, updated with what was learned since, to the newest. Segments are only removed oldest
-// first, so no later record refers to a message whose own record is gone.
+// The directory holds numbered segments of checksummed records (see record.go). Only the newest segment is written
+// to. The oldest is removed once nothing in it is needed any more. Compaction gets there by copying: it writes what
+// is still needed of the oldest segment, updated with what was learned since, to the newest. Segments are only
+// removed oldest first, so no later record refers to a message whose own record is gone.
 package ledger
 
 import (
@@ -25,8 +25,8 @@
 // ErrFull is returned if a record would leave too little of the directory's size limit.
 var ErrFull = errors.New("ledger: state directory is full")
 
-// The list of endpoints is kept in the same directory, by package snapshot: in ListFile, and in ListTempFile while a new
-// one is written.
+// The list of endpoints is kept in the same directory, by package snapshot: in ListFile, and in ListTempFile while a
+// new one is written.
 const (
 	ListFile     = "endpoints.list"
 	ListTempFile = "endpoints.list.new"
@@ -346,14 +346,15 @@
 	return segments * max(l.segmentSize, maxRecordSize)
 }
 
-// RecordCall records that a call with these messages, each with the number of its attempt, is about to be made. No byte
-// of the call may be written before that.
+// RecordCall records that a call with these messages, each with the number of its attempt, is about to be made. No
+// byte of the call may be written before that.
 func (l *Ledger) RecordCall(ids []string, numbers []int, host string, at time.Time) error {
 	call := attempt{startedAt: at, host: host}
 	return l.appendAndApply(record{kind: kindCall, ids: ids, attemptNumbers: numbers, attempt: call})
 }
 
-// RecordOutcome records how an attempt ended: whether it may have run, and whether it failed and was not merely refused.
+// RecordOutcome records how an attempt ended: whether it may have run, and whether it failed and was not merely
+// refused.
 func (l *Ledger) RecordOutcome(id string, number int, mayHaveRun, failed bool) error {
 	if l.entries[id] == nil {
 		return nil
@@ -414,8 +415,8 @@
 
 // ReserveListSpace changes the space reserved for all files of the list of endpoints together. It returns false and
 // changes nothing if that is more space than before and either exceeds a quarter of the size limit or would not leave
-// free what RecordAccepted keeps for the calls and ends of held messages. The list can be fetched again; those records
-// cannot.
+// free what RecordAccepted keeps for the calls and ends of held messages. The list can be fetched again; those
+// records cannot.
 func (l *Ledger) ReserveListSpace(bytes int64) bool {
 	bytes = diskUsage(bytes) + blockSize // up to two files, each rounded up to whole blocks
 	more := bytes - l.listBytes
@@ -462,8 +463,8 @@
 }
 
 // rotateAndCompact starts a new segment and then removes and compacts old ones. If no new segment can be started, for
-// example for want of a file descriptor, it returns false and the current one grows beyond segmentSize for now: records
-// of held messages must not be lost.
+// example for want of a file descriptor, it returns false and the current one grows beyond segmentSize for now:
+// records of held messages must not be lost.
 func (l *Ledger) rotateAndCompact() bool {
 	if err := l.rotate(); err != nil {
 		if !l.rotationFailed {
@@ -528,9 +529,9 @@
 }
 
 // compact copies the entries out of the oldest segments and removes those, each of the present segments at most once.
-// It does so only while the directory is more than half full and a pass frees at least two segments: otherwise it would
-// copy much to gain little, again and again. The directory stays within its limit, as RecordAccepted leaves space for
-// what may be wasted until then and for a copy.
+// It does so only while the directory is more than half full and a pass frees at least two segments: otherwise it
+// would copy much to gain little, again and again. The directory stays within its limit, as RecordAccepted leaves
+// space for what may be wasted until then and for a copy.
 func (l *Ledger) compact() {
 	if l.wastedBytes() < 2*l.segmentSize {
 		return
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -160,8 +160,8 @@
 	}
 }
 
-// TestBrokenRecordIsSkipped damages each byte of the middle record: that record is lost, those before and after it are
-// not.
+// TestBrokenRecordIsSkipped damages each byte of the middle record: that record is lost, those before and after it
+// are not.
 func TestBrokenRecordIsSkipped(t *testing.T) {
 	dir := t.TempDir()
 	l := openLedger(t, dir, testLimit)
@@ -181,7 +181,8 @@
 		pending := l.Pending()
 		intact := len(pending) == 2 && pending[0].Message.ID == "a" && pending[1].Message.ID == "c"
 		if !intact || l.Stats().BrokenRecords != 1 {
-			t.Errorf("byte %d broken: %d messages pending, %d broken records counted", n, len(pending), l.Stats().BrokenRecords)
+			t.Errorf("byte %d broken: %d messages pending, %d broken records counted",
+				n, len(pending), l.Stats().BrokenRecords)
 		}
 	}
 }
@@ -293,7 +294,8 @@
 	}
 }
 
-// TestRotationFailure prevents a new segment from being started: the current one takes all records until that succeeds.
+// TestRotationFailure prevents a new segment from being started: the current one takes all records until that
+// succeeds.
 func TestRotationFailure(t *testing.T) {
 	const limit = 1 << 20
 	dir := t.TempDir()
@@ -415,8 +417,10 @@
 		"in flight":     {MayHaveRun: true},
 	}
 	for _, p := range openLedger(t, dir, testLimit).Pending() {
-		if w := want[p.Message.ID]; p.FailedAttempts != w.FailedAttempts || p.MayHaveRun != w.MayHaveRun || p.Attempts != 1 {
-			t.Errorf("%s: %+v, want %d failed attempts, may have run %v", p.Message.ID, p, w.FailedAttempts, w.MayHaveRun)
+		w := want[p.Message.ID]
+		if p.FailedAttempts != w.FailedAttempts || p.MayHaveRun != w.MayHaveRun || p.Attempts != 1 {
+			t.Errorf("%s: %+v, want %d failed attempts, may have run %v",
+				p.Message.ID, p, w.FailedAttempts, w.MayHaveRun)
 		}
 		delete(want, p.Message.ID)
 	}
@@ -425,9 +429,9 @@
 	}
 }
 
-// TestReserveListSpace expects the space for the list of endpoints to count towards the limit, to be at most a quarter
-// of it, and to be granted only while the space kept for calls and ends stays free. A list left by an earlier process
-// counts from the start, whatever its size.
+// TestReserveListSpace expects the space for the list of endpoints to count towards the limit, to be at most a
+// quarter of it, and to be granted only while the space kept for calls and ends stays free. A list left by an earlier
+// process counts from the start, whatever its size.
 func TestReserveListSpace(t *testing.T) {
 	dir := t.TempDir()
 	must(t, os.WriteFile(filepath.Join(dir, ListFile), make([]byte, 100_000), 0o600))
@@ -483,7 +487,8 @@
 	}
 }
 
-// TestOutagesArePersisted expects outages to survive restarts and the removal of their segments, until they have ended.
+// TestOutagesArePersisted expects outages to survive restarts and the removal of their segments, until they have
+// ended.
 func TestOutagesArePersisted(t *testing.T) {
 	dir := t.TempDir()
 	l := openLedger(t, dir, testLimit)
--- a/internal/ledger/record.go
+++ b/internal/ledger/record.go
@@ -1,5 +1,5 @@
-// This file owns the encoding of records: a magic number, the length and the checksum of a payload, and the payload. It
-// must never panic on what it reads, however a disk has damaged it.
+// This file owns the encoding of records: a magic number, the length and the checksum of a payload, and the payload.
+// It must never panic on what it reads, however a disk has damaged it.
 
 package ledger
 
@@ -36,7 +36,7 @@
 	attemptCount   int       // in a message: attempts made so far; in an outcome: the number of the attempt
 	openAttempts   []attempt // in a message: attempts without an outcome
 	mayHaveRun     bool
-	failed         bool    // in an outcome: the attempt failed and was not merely refused; true of all that may have run
+	failed         bool    // in an outcome: failed and not merely refused; true whenever mayHaveRun is
 	attempt        attempt // in a call or an outage: when and where; in a message: the earliest that may have run
 	dead           bool
 	retryAfter     time.Duration
@@ -279,8 +279,8 @@
 	return attempt{number: int(p.uint()), startedAt: time.UnixMilli(p.int()), host: p.string()}
 }
 
-// decodeRecord decodes a payload. It returns false for a payload of an unknown kind, one that is cut short and one with
-// trailing bytes.
+// decodeRecord decodes a payload. It returns false for a payload of an unknown kind, one that is cut short and one
+// with trailing bytes.
 func decodeRecord(payload []byte) (record, bool) {
 	if len(payload) == 0 {
 		return record{}, false
