--- a/rules/observe.go
+++ b/rules/observe.go
@@ -2,106 +2,117 @@
 
 import "time"
 
-// This file owns what a sender tells of its decisions: changes of an endpoint's state and why messages ended. It decides
-// nothing, no decision reads it, and what nobody takes is bounded.
+// This file owns what a sender reports about its decisions: transitions of endpoint states and why messages ended. It
+// must make no decisions, no decision may read it, and what is kept between two calls of Observe must stay bounded.
 
-// State is what a sender takes an endpoint for.
+// State is how a sender assesses the health of an endpoint.
 type State int
 
-// The states of an endpoint.
+// The states of an endpoint. The zero value is Healthy.
 const (
 	Healthy   State = State(healthy)
-	Probation State = State(probation) // sparse probes only
-	SlowStart State = State(slowStart) // back from an outage, and cold
+	Probation State = State(probation) // ejected: it gets occasional probes only
+	SlowStart State = State(slowStart) // back from an outage: its share of calls grows as it warms up
 )
 
 func (s State) String() string {
 	return [...]string{"healthy", "probation", "slow start"}[s]
 }
 
-// Cause says what changed an endpoint's state.
+// Cause is the reason for a transition. Its values are written to logs.
 type Cause string
 
 // The causes.
 const (
 	CauseFailures     Cause = "failures"   // calls failed in a row
-	CauseUnresponsive Cause = "silence"    // calls are out and nothing is answered
-	CauseRefusals     Cause = "refusals"   // refusals that no limit explains
-	CauseRetryAfter   Cause = "told shut"  // a told wait longer than a limit's
+	CauseUnresponsive Cause = "silence"    // calls are in flight and none is answered
+	CauseRefusals     Cause = "refusals"   // refusals that a rate limit does not explain
+	CauseRetryAfter   Cause = "told shut"  // a Retry-After longer than a rate limit's
 	CauseAnswered     Cause = "answered"   // a probe was answered
-	CauseBriefOutage  Cause = "short loss" // a probe was answered before anything can have gone cold
-	CauseInherited    Cause = "inherited"  // its destination's other endpoints are in that state
-	CauseRestored     Cause = "restored"   // an earlier process had seen calls fail
+	CauseBriefOutage  Cause = "short loss" // a probe was answered before the endpoint can have become cold
+	CauseInherited    Cause = "inherited"  // taken over from another endpoint that shares its rate limit
+	CauseRestored     Cause = "restored"   // an earlier process of this sender saw calls fail
 	CauseWarm         Cause = "warm"       // the warm-up is over
 )
 
 // Transition is a change of an endpoint's state.
 type Transition struct {
-	At                  time.Duration
+	At                  time.Duration // time of the step, as passed to Sender.Step
 	Endpoint            EndpointID
 	From, To            State
 	Cause               Cause
-	ConsecutiveFailures int           // in a row
-	FailingSince        time.Duration // since when, by what this sender saw
+	ConsecutiveFailures int
+	FailingSince        time.Duration // when the failures began as this sender saw it, in the time of Sender.Step
 	PreOutageRate       float64       // calls a second delivered there before the outage
-	CallInterval        time.Duration // to the next call that its share of the slow start budget allows
+	CallInterval        time.Duration // to the next call that the slow start budget allows; 0 for a healthy endpoint
 }
 
-// EndReason says why a message ended undelivered.
+// EndReason is why a message ended undelivered. Its values are written to logs and counters.
 type EndReason string
 
 // The reasons.
 const (
-	EndDeadline      EndReason = "deadline"  // its time is up
-	EndAttempts      EndReason = "attempts"  // no attempt is left
-	EndNotRepeatable EndReason = "no_repeat" // it may have run, and may not be repeated any more
+	EndDeadline      EndReason = "deadline"  // its deadline passed
+	EndAttempts      EndReason = "attempts"  // it had no attempts left
+	EndNotRepeatable EndReason = "no_repeat" // it may have run and must not be repeated any more
 	EndShed          EndReason = "shed"      // it could not be sent before its deadline
-	EndEvicted       EndReason = "evicted"   // its room was needed
+	EndEvicted       EndReason = "evicted"   // it was dropped to make room for other messages
 )
 
-// EndReasons lists all.
+// EndReasons lists all reasons.
 var EndReasons = []EndReason{EndDeadline, EndAttempts, EndNotRepeatable, EndShed, EndEvicted}
 
-// End is a message that the sender ended undelivered.
+// Undelivered is a message that the sender ended without delivering it.
 type Undelivered struct {
 	ID     MessageID
 	Reason EndReason
 }
 
-// Observations are what a sender has to tell since it was last asked.
+// Observations are what a sender recorded since the last call of Observe.
 type Observations struct {
 	Transitions []Transition
 	Undelivered []Undelivered
-	Deferred    int // looks at an endpoint that slow start, probation or a pause after a failure kept from a waiting message
+
+	// Deferred counts how often slow start, probation or the pause after a failure kept an endpoint from waiting messages.
+	Deferred int
 }
 
-// mostObservations bounds what is kept for nobody.
+// maxObservations limits each list of Observations if nobody calls Observe; later entries are dropped.
 const maxObservations = 4096
 
-// Observe returns what has been noted since the last call, and forgets it.
+// Observe returns what was recorded since the last call and clears it.
 func (s *Sender) Observe() Observations {
 	o := s.observations
 	s.observations = Observations{}
 	return o
 }
 
-// setHealth changes an endpoint's state and notes it.
+// setHealth changes an endpoint's state and records the transition.
 func (s *Sender) setHealth(ep *endpointState, to health, since time.Duration, cause Cause) {
 	from := ep.health
 	ep.health, ep.healthSince = to, since
 	if from == to || len(s.observations.Transitions) >= maxObservations {
 		return
 	}
-	t := Transition{At: s.now, Endpoint: ep.id, From: State(from), To: State(to), Cause: cause, ConsecutiveFailures: ep.consecutiveFailures, FailingSince: ep.failingSince, PreOutageRate: ep.preOutageRate}
+	t := Transition{
+		At:                  s.now,
+		Endpoint:            ep.id,
+		From:                State(from),
+		To:                  State(to),
+		Cause:               cause,
+		ConsecutiveFailures: ep.consecutiveFailures,
+		FailingSince:        ep.failingSince,
+		PreOutageRate:       ep.preOutageRate,
+	}
 	if to != healthy {
 		t.CallInterval = s.callInterval(ep)
 	}
 	s.observations.Transitions = append(s.observations.Transitions, t)
 }
 
-// noteEnd notes why a message ends.
-func (s *Sender) recordEnd(m *message, why EndReason) {
+// recordEnd records why a message ends.
+func (s *Sender) recordEnd(m *message, reason EndReason) {
 	if len(s.observations.Undelivered) < maxObservations {
-		s.observations.Undelivered = append(s.observations.Undelivered, Undelivered{m.id, why})
+		s.observations.Undelivered = append(s.observations.Undelivered, Undelivered{m.id, reason})
 	}
 }
