--- a/rules/pack.go
+++ b/rules/pack.go
@@ -7,38 +7,45 @@
 	"time"
 )
 
-// This file writes the state of a destination as bytes and reads it back, each value to the last bit. It decides nothing.
+// This file owns the packed form of a destination's state: it writes the state as bytes and reads it back. It must make
+// no decisions, and each value must be restored bit by bit.
 
-// packer writes values, or reads them back in the same order. Most are zero, or a time or number that came before: runs of zeros and
-// what was seen cost a byte, times what they differ by from the one before. What is missing at the end is zeros.
+// packer writes values, or reads them back in the same order. As most values are zero or equal to an earlier one, a run
+// of zeros or an earlier value takes one byte, and a time takes its difference from the time before. Zeros at the end
+// are not written: the reader returns zero for all that is missing.
 type packer struct {
-	data       []byte
-	reading    bool     // it reads
-	zeroRun    int      // before the next value
-	seen       []uint64 // other values, in the order first seen
-	lastTime   int64    // time among them
-	lastNumber float64  // number among them
+	data       []byte   // written so far, or still to be read
+	reading    bool     // else it writes
+	zeroRun    int      // zeros pending before the next value
+	seen       []uint64 // earlier values other than zero, in the order first seen
+	lastTime   int64    // latest new time
+	lastNumber float64  // latest new float
 }
 
-// What a byte says: up to mostZeros it is one less than a run of zeros, from isSeen on a place among the seen.
+// The first byte of a value. A byte up to maxZeroRun is a run of zeros, one more than the byte. A byte from codeSeen on
+// is an index in packer.seen.
 const (
 	maxZeroRun  = 127
-	codeTime    = 128 + iota // a varint follows: by how much it is after the last
-	codeCount                // a varint follows
-	codeNumber               // 8 bytes follow
-	codeSeconds              // a varint follows: nanoseconds
-	codeHalf                 // of the number before
+	codeTime    = 128 + iota // followed by a varint: the difference from lastTime
+	codeCount                // followed by a varint
+	codeNumber               // followed by 8 bytes: a float
+	codeSeconds              // followed by a varint: a float that is this many nanoseconds, in seconds
+	codeHalf                 // a float that is half of lastNumber
 	codeSeen
 )
 
-func newPacker(text []byte, back bool) *packer {
-	return &packer{data: text, reading: back, seen: append(make([]uint64, 0, 32), 1, math.Float64bits(1))}
+// newPacker returns a packer that reads data or, if reading is not set, appends to it. The values 1 and 1.0 count as
+// seen from the start.
+func newPacker(data []byte, reading bool) *packer {
+	return &packer{data: data, reading: reading, seen: append(make([]uint64, 0, 32), 1, math.Float64bits(1))}
 }
 
 func (p *packer) time(x *time.Duration) { *x = time.Duration(p.value(uint64(*x), codeTime)) }
+
 func (p *packer) number(x *float64) {
 	*x = math.Float64frombits(p.value(math.Float64bits(*x), codeNumber))
 }
+
 func packCount[T ~int | ~uint32](p *packer, x *T) { *x = T(p.value(uint64(*x), codeCount)) }
 
 func (p *packer) flag(x *bool) {
@@ -50,8 +57,9 @@
 	*x = n != 0
 }
 
-// value writes a value that is not known to be of a shorter form, or reads the next.
-func (p *packer) value(v uint64, form byte) uint64 {
+// value writes v and returns it or, if the packer reads, returns the next value. code is how to write v unless there is
+// a shorter way.
+func (p *packer) value(v uint64, code byte) uint64 {
 	switch {
 	case p.reading:
 		return p.read()
@@ -66,58 +74,60 @@
 		p.data = append(p.data, byte(codeSeen+i))
 		return v
 	}
-	if form == codeNumber {
+	if code == codeNumber {
 		f := math.Float64frombits(v)
-		ns := time.Duration(min(max(math.Round(f*1e9), -1e15), 1e15)) // NaN comes to something that is not it
+		// For a NaN the result is arbitrary and does not compare equal below.
+		ns := time.Duration(min(max(math.Round(f*1e9), -1e15), 1e15))
 		switch v {
 		case math.Float64bits(p.lastNumber / 2):
-			form = codeHalf
+			code = codeHalf
 		case math.Float64bits(ns.Seconds()):
-			form = codeSeconds
-			p.data = binary.AppendVarint(append(p.data, form), int64(ns))
+			code = codeSeconds
+			p.data = binary.AppendVarint(append(p.data, code), int64(ns))
 		default:
-			p.data = binary.LittleEndian.AppendUint64(append(p.data, form), v)
+			p.data = binary.LittleEndian.AppendUint64(append(p.data, code), v)
 		}
 	}
-	switch form {
+	switch code {
 	case codeTime:
-		p.data = binary.AppendVarint(append(p.data, form), int64(v)-p.lastTime)
+		p.data = binary.AppendVarint(append(p.data, code), int64(v)-p.lastTime)
 	case codeCount:
-		p.data = binary.AppendVarint(append(p.data, form), int64(v))
+		p.data = binary.AppendVarint(append(p.data, code), int64(v))
 	case codeHalf:
-		p.data = append(p.data, form)
+		p.data = append(p.data, code)
 	}
-	p.remember(v, form)
+	p.remember(v, code)
 	return v
 }
 
+// read returns the next value.
 func (p *packer) read() uint64 {
 	if p.zeroRun > 0 || len(p.data) == 0 {
 		p.zeroRun = max(p.zeroRun-1, 0)
 		return 0
 	}
-	form := p.data[0]
+	code := p.data[0]
 	p.data = p.data[1:]
 	var v uint64
 	switch {
-	case form <= maxZeroRun:
-		p.zeroRun = int(form)
+	case code <= maxZeroRun:
+		p.zeroRun = int(code)
 		return 0
-	case form >= codeSeen:
-		return p.seen[form-codeSeen]
-	case form == codeTime:
+	case code >= codeSeen:
+		return p.seen[code-codeSeen]
+	case code == codeTime:
 		v = uint64(p.varint() + p.lastTime)
-	case form == codeCount:
+	case code == codeCount:
 		v = uint64(p.varint())
-	case form == codeNumber:
+	case code == codeNumber:
 		v = binary.LittleEndian.Uint64(p.data)
 		p.data = p.data[8:]
-	case form == codeSeconds:
+	case code == codeSeconds:
 		v = math.Float64bits(time.Duration(p.varint()).Seconds())
-	case form == codeHalf:
+	case code == codeHalf:
 		v = math.Float64bits(p.lastNumber / 2)
 	}
-	p.remember(v, form)
+	p.remember(v, code)
 	return v
 }
 
@@ -127,11 +137,12 @@
 	return x
 }
 
-func (p *packer) remember(v uint64, form byte) {
+// remember records a new value for later ones that refer to it. There are codes for a limited number of values.
+func (p *packer) remember(v uint64, code byte) {
 	if len(p.seen) <= math.MaxUint8-codeSeen {
 		p.seen = append(p.seen, v)
 	}
-	switch form {
+	switch code {
 	case codeTime:
 		p.lastTime = int64(v)
 	case codeNumber, codeSeconds, codeHalf:
@@ -139,7 +150,8 @@
 	}
 }
 
-// destination is all that is known of one, but for what the list says and what is held or out.
+// destination packs the state of a destination, except for what records hold. Its messages and calls are not packed: a
+// dormant destination has none.
 func (p *packer) destination(d *destinationState) {
 	first := d.endpoints[0]
 	p.destinationSeq(&d.seq, first.seq)
@@ -154,11 +166,11 @@
 	}
 }
 
-// destSeq is the place of a destination among all, mostly that of its first endpoint.
-func (p *packer) destinationSeq(seq *uint32, first uint32) {
-	*seq -= first
+// destinationSeq packs the seq of a destination as the difference from that of its first endpoint, which is mostly 0.
+func (p *packer) destinationSeq(seq *uint32, firstEndpoint uint32) {
+	*seq -= firstEndpoint
 	packCount(p, seq)
-	*seq += first
+	*seq += firstEndpoint
 }
 
 func (p *packer) limitScope(l *limitScope) {
@@ -174,7 +186,9 @@
 	p.decayingRate(&x.refusedRate)
 	p.number(&x.rate)
 	p.number(&x.increase)
-	for _, t := range []*time.Duration{&x.lastDecrease, &x.lastChange, &x.lastRefusal, &x.lastLimited, &x.nextSend, &x.notBefore} {
+	for _, t := range []*time.Duration{
+		&x.lastDecrease, &x.lastChange, &x.lastRefusal, &x.lastLimited, &x.nextSend, &x.notBefore,
+	} {
 		p.time(t)
 	}
 }
@@ -193,14 +207,16 @@
 	packCount(p, &ep.symptom)
 	packCount(p, &ep.consecutiveFailures)
 	packCount(p, &ep.connectRefusals)
-	for _, t := range []*time.Duration{&ep.healthSince, &ep.failingSince, &ep.lastFailedSentAt, &ep.connectionsRenewedAt, &ep.connectNotBefore} {
+	for _, t := range []*time.Duration{
+		&ep.healthSince, &ep.failingSince, &ep.lastFailedSentAt, &ep.connectionsRenewedAt, &ep.connectNotBefore,
+	} {
 		p.time(t)
 	}
 	p.number(&ep.preOutageRate)
 	p.classes(ep)
 }
 
-// services is those that something is known of, and a zero after them.
+// classes packs the classes of an endpoint that have any state, then a zero.
 func (p *packer) classes(ep *endpointState) {
 	if p.reading {
 		for v := new(classHealth); p.classHealth(v); v = new(classHealth) {
@@ -216,16 +232,16 @@
 	p.classHealth(nil)
 }
 
-// service is false at the end.
+// classHealth packs one class, or a zero for nil, and reports whether there was one.
 func (p *packer) classHealth(v *classHealth) bool {
-	no := 0
+	number := 0 // of the class, plus 1
 	if v != nil {
-		no = v.class + 1
+		number = v.class + 1
 	}
-	if packCount(p, &no); no == 0 {
+	if packCount(p, &number); number == 0 {
 		return false
 	}
-	v.class = no - 1
+	v.class = number - 1
 	p.timing(&v.timing)
 	p.decayingRate(&v.hints)
 	packCount(p, &v.consecutiveFailures)
--- a/rules/record.go
+++ b/rules/record.go
@@ -9,22 +9,23 @@
 	"eiderhaven/internal/index"
 )
 
-// This file keeps what is listed and at rest. A destination is awake, with structs of its own, from the first time that a message,
-// a note or an outcome is about it until nothing of it is held or out; else it is a record for each endpoint. It decides nothing: what
-// comes awake is, to the last bit, what went to rest.
+// This file owns the list of endpoints and the compact form of dormant destinations. A destination is active, with
+// structs of its own, from the first message, hint or outcome for it until none of its messages is held and none of its
+// calls is in flight. Otherwise it is dormant: one record for each endpoint, and its packed state if it has any. This
+// file must make no decisions, and activating a destination must restore the state that it had, bit by bit.
 
 const (
-	deactivateAfter  = 5 * time.Second // a destination is looked at this long after it woke, and again as often until it rests
-	maxDeactivations = 64              // as many in one step, so that none takes long
+	deactivateAfter  = 5 * time.Second // an active destination is checked this often for whether it can be deactivated
+	maxDeactivations = 64              // checks in one step, which limits the duration of a step
 )
 
-// record is one endpoint of a destination at rest.
+// record is one endpoint of a dormant destination.
 type record struct {
 	id          EndpointID
-	seq         uint32
+	seq         uint32 // as endpointState.seq
 	destination int32
-	next        uint32 // the destination's next endpoint, in the order first heard of; after the last comes the first
-	state       uint32 // of the destination, among the states, at its last endpoint; 0 for none
+	next        uint32 // index of the destination's next endpoint by seq; the last one refers to the first
+	state       uint32 // number of the destination's packed state, at its last endpoint only; 0 for none
 	zone        uint16
 	kind        uint8
 	flags       recordFlags
@@ -34,36 +35,36 @@
 type recordFlags uint8
 
 const (
-	flagUsed      recordFlags = 1 << iota // else the record is free
-	flagInService                         // and not draining
-	flagMissing                           // from the whole list that is just taken in
-	flagGone                              // gone from the list; only the one endpoint of a destination is, as it stays until another comes
+	flagUsed      recordFlags = 1 << iota // unset: the record is free
+	flagInService                         // listed and not draining
+	flagMissing                           // not named so far by the complete list that is being processed
+	flagGone                              // not listed any more; only the sole endpoint of a dormant destination can be
 )
 
-// atRest is the part of a sender that keeps what rests, and what is to.
+// dormantState is the part of a sender's state that has the dormant destinations, and the active ones to be checked.
 type dormantState struct {
 	records           *recordTable
-	active            []activeDestination // the first to be looked at first
-	deactivateAfter   time.Duration       // how soon a destination is looked at after it woke
-	packBuffer        []byte              // reused by rest
-	missingDepartures []departure         // of those that were at rest, in the whole list that is just taken in
-	departureCount    int                 // of endpoints from the list so far
+	active            []activeDestination // in the order in which they are checked
+	deactivateAfter   time.Duration       // the constant of that name, except in tests
+	packBuffer        []byte              // reused by deactivate
+	missingDepartures []departure         // endpoints that were activated with flagMissing set
+	departureCount    int                 // departures so far
 	absences          map[EndpointID]absence
 }
 
-// absence is when the list lost an endpoint at rest, and the number of that among all.
+// absence is the departure of a dormant endpoint.
 type absence struct {
 	at              time.Duration
 	departureNumber int
 }
 
-// roster is all records, with the ways to find them.
+// recordTable has the records of all dormant destinations, with indexes.
 type recordTable struct {
 	list   []record
-	free   []uint32
+	free   []uint32 // indexes of free records
 	states packedStates
 	byID   *index.Index[EndpointID]
-	byDest *index.Index[int32] // the last endpoint of each
+	byDest *index.Index[int32] // the last endpoint of each destination
 }
 
 func newRecordTable() *recordTable {
@@ -73,12 +74,12 @@
 	return r
 }
 
-// fits tells whether an endpoint has a place in a record. What has none stays awake.
+// fitsRecord reports whether the fields of a record can hold the given numbers. Destinations with others stay active.
 func fitsRecord(dest, kind, zone int) bool {
 	return int(int32(dest)) == dest && int(uint8(kind)) == kind && int(uint16(zone)) == zone
 }
 
-// reserve makes room for so many records.
+// reserve makes room for n records in all.
 func (r *recordTable) reserve(n int) {
 	if n -= len(r.list); n > 0 {
 		r.list = slices.Grow(r.list, n)
@@ -87,24 +88,24 @@
 	}
 }
 
-// add appends an endpoint to a destination at rest, which may be new.
-func (r *recordTable) add(x record) {
+// add appends an endpoint to a dormant destination, which may be new.
+func (r *recordTable) add(added record) {
 	at := uint32(len(r.list))
 	if n := len(r.free); n > 0 {
 		at, r.free = r.free[n-1], r.free[:n-1]
 	} else {
 		r.list = append(r.list, record{})
 	}
-	x.flags, x.next = x.flags|flagUsed, at
-	if last, known := r.byDest.Find(x.destination); known {
-		x.next, r.list[last].next = r.list[last].next, at
+	added.flags, added.next = added.flags|flagUsed, at
+	if last, known := r.byDest.Find(added.destination); known {
+		added.next, r.list[last].next = r.list[last].next, at
 	}
-	r.list[at] = x
+	r.list[at] = added
 	r.byID.Put(at)
 	r.byDest.Put(at)
 }
 
-// take removes a destination and returns its endpoints in the order first heard of.
+// removeDestination removes the destination with the given last endpoint and returns its endpoints by seq.
 func (r *recordTable) removeDestination(last uint32) []record {
 	var all []record
 	r.byDest.Remove(r.list[last].destination)
@@ -119,7 +120,7 @@
 	}
 }
 
-// endpoint returns a listed endpoint, awake, nil for one not known.
+// endpoint returns a listed endpoint, nil for one that is not known. If its destination is dormant, it is activated.
 func (s *Sender) endpoint(id EndpointID) *endpointState {
 	ep := s.endpoints[id]
 	if ep == nil {
@@ -131,7 +132,7 @@
 	return ep
 }
 
-// wake makes a destination at rest one with a state, the one that it had, and returns it, nil for one that is not at rest.
+// activate restores a dormant destination and returns it, nil for one that is not dormant.
 func (s *Sender) activate(dest int32) *destinationState {
 	last, known := s.records.byDest.Find(dest)
 	if !known {
@@ -146,7 +147,8 @@
 			a := s.absences[ep.id]
 			delete(s.absences, ep.id)
 			ep.gone, ep.goneAt, ep.departureNumber = true, a.at, a.departureNumber
-			s.departures = slices.Insert(s.departures, s.departureIndex(a.departureNumber-1), departure{ep, a.departureNumber})
+			i := s.departureIndex(a.departureNumber - 1)
+			s.departures = slices.Insert(s.departures, i, departure{ep, a.departureNumber})
 		} else if r.flags&flagMissing != 0 {
 			s.missingDepartures = append(s.missingDepartures, s.markGone(ep))
 		}
@@ -159,32 +161,44 @@
 	return d
 }
 
-// departed is how many of those gone left by a number.
-func (s *Sender) departureIndex(no int) int {
-	i, _ := slices.BinarySearchFunc(s.departures, no+1, func(g departure, no int) int { return cmp.Compare(g.number, no) })
+// departureIndex returns how many of s.departures have numbers up to the given one.
+func (s *Sender) departureIndex(number int) int {
+	i, _ := slices.BinarySearchFunc(s.departures, number+1,
+		func(g departure, number int) int { return cmp.Compare(g.number, number) })
 	return i
 }
 
-// rest lays a destination down, unless something of it is held, out, to be forgotten or cannot be told by a record.
+// deactivate makes a destination dormant. It reports false if the destination must stay active: it has messages, calls
+// in flight, endpoints to be forgotten or something that a record cannot hold.
 func (s *Sender) deactivate(d *destinationState) bool {
 	if d.held > 0 || len(d.endpoints) == 0 || d.pinned {
 		return false
 	}
 	for i, ep := range d.endpoints {
-		shared := i == 0 || !s.kind(ep).RoutesApart // what join makes of it
-		if len(ep.calls) > 0 || ep.gone && len(d.endpoints) > 1 || !fitsRecord(d.number, ep.kind, ep.zone) || (ep.limitScope == d.endpoints[0].limitScope) != shared {
+		shared := i == 0 || !s.kind(ep).RoutesApart // whether addEndpoint would give it the first one's limit scope
+		if len(ep.calls) > 0 ||
+			ep.gone && len(d.endpoints) > 1 ||
+			!fitsRecord(d.number, ep.kind, ep.zone) ||
+			(ep.limitScope == d.endpoints[0].limitScope) != shared {
 			return false
 		}
 	}
 	p := newPacker(s.packBuffer[:0], false)
 	p.destination(d)
 	s.packBuffer = p.data
-	state, room := s.records.states.put(p.data)
-	if !room {
+	state, ok := s.records.states.put(p.data)
+	if !ok {
 		return false
 	}
 	for i, ep := range d.endpoints {
-		r := record{id: ep.id, seq: ep.seq, destination: int32(d.number), zone: uint16(ep.zone), kind: uint8(ep.kind), listedRate: ep.listedRate}
+		r := record{
+			id:          ep.id,
+			seq:         ep.seq,
+			destination: int32(d.number),
+			zone:        uint16(ep.zone),
+			kind:        uint8(ep.kind),
+			listedRate:  ep.listedRate,
+		}
 		if ep.inService {
 			r.flags = flagInService
 		}
@@ -204,28 +218,28 @@
 	return true
 }
 
-// restIdle lays down what has come to rest, of what woke long enough ago.
+// deactivateIdle deactivates destinations whose check is due, as far as that is possible.
 func (s *Sender) deactivateIdle() {
 	for range min(maxDeactivations, len(s.active)) {
-		w := s.active[0]
-		if s.now < w.checkAt {
+		a := s.active[0]
+		if s.now < a.checkAt {
 			return
 		}
 		s.active[0].destination = nil
 		s.active = s.active[1:]
-		if !s.deactivate(w.destination) {
-			s.active = append(s.active, activeDestination{w.destination, s.now + s.deactivateAfter})
+		if !s.deactivate(a.destination) {
+			s.active = append(s.active, activeDestination{a.destination, s.now + s.deactivateAfter})
 		}
 	}
 }
 
-// wakeful is a destination that is awake, and when to look at it.
+// activeDestination is an active destination and the time of its next check.
 type activeDestination struct {
 	destination *destinationState
 	checkAt     time.Duration
 }
 
-// newDestination returns a destination that nothing is known of.
+// newDestination adds an active destination without endpoints.
 func (s *Sender) newDestination(n int) *destinationState {
 	d := &destinationState{number: n, backlog: backlog{firstDue: never}}
 	s.destinations[n] = d
@@ -233,7 +247,8 @@
 	return d
 }
 
-// join gives a destination one endpoint more, on the lane of the others unless its kind's routes are apart.
+// addEndpoint adds an endpoint to a destination. It shares the limit scope of the others unless its kind has
+// RoutesApart.
 func (s *Sender) addEndpoint(d *destinationState, id EndpointID, seq uint32, kind int) *endpointState {
 	ep := &endpointState{id: id, seq: seq, destination: d, kind: kind}
 	if !s.kind(ep).RoutesApart && len(d.endpoints) > 0 {
@@ -246,11 +261,11 @@
 	return ep
 }
 
-// note takes an entry of the list in without waking anything; it is false if that cannot be.
+// updateDormant applies an entry of the list without activating anything. It reports false if that is not possible.
 func (s *Sender) updateDormant(e Entry) bool {
-	marks := flagUsed
+	flags := flagUsed
 	if !e.Draining {
-		marks |= flagInService
+		flags |= flagInService
 	}
 	if at, known := s.records.byID.Find(e.Endpoint); known {
 		r := &s.records.list[at]
@@ -258,26 +273,37 @@
 			return false
 		}
 		if e.Gone {
-			marks = flagUsed | flagGone
+			flags = flagUsed | flagGone
 		} else if r.flags&flagGone != 0 {
 			delete(s.absences, e.Endpoint)
 		}
-		r.zone, r.listedRate, r.flags = uint16(e.Zone), s.entryRate(e), marks
+		r.zone, r.listedRate, r.flags = uint16(e.Zone), s.entryRate(e), flags
 		return true
 	}
-	if e.Gone || !fitsRecord(e.Destination, e.Kind, e.Zone) || s.destinations[e.Destination] != nil || s.endpoints[e.Endpoint] != nil {
+	if e.Gone ||
+		!fitsRecord(e.Destination, e.Kind, e.Zone) ||
+		s.destinations[e.Destination] != nil ||
+		s.endpoints[e.Endpoint] != nil {
 		return false
 	}
-	if last, known := s.records.byDest.Find(int32(e.Destination)); known && (s.records.list[last].state != 0 || s.records.list[last].flags&flagGone != 0) {
-		return false // it takes over what is known of the others, which may be forgotten then
+	last, known := s.records.byDest.Find(int32(e.Destination))
+	if known && (s.records.list[last].state != 0 || s.records.list[last].flags&flagGone != 0) {
+		return false // a new endpoint takes over the state of those there, which may be forgotten after that
 	}
 	s.lastSeq++
-	s.records.add(record{id: e.Endpoint, seq: s.lastSeq, destination: int32(e.Destination), zone: uint16(e.Zone), kind: uint8(e.Kind),
-		listedRate: s.entryRate(e), flags: marks})
+	s.records.add(record{
+		id:          e.Endpoint,
+		seq:         s.lastSeq,
+		destination: int32(e.Destination),
+		zone:        uint16(e.Zone),
+		kind:        uint8(e.Kind),
+		listedRate:  s.entryRate(e),
+		flags:       flags,
+	})
 	return true
 }
 
-// rateOf is the rate that an entry lists, where that means something.
+// entryRate returns the rate that an entry lists, 0 if listed rates are not meaningful.
 func (s *Sender) entryRate(e Entry) float64 {
 	if s.settings.RatesListed {
 		return e.ListedRate
@@ -285,22 +311,22 @@
 	return 0
 }
 
-// departure is that the list has lost an endpoint. It is void if the endpoint has come back since.
+// departure is the removal of an endpoint from the list. It is obsolete once the endpoint is listed again.
 type departure struct {
 	endpoint *endpointState
-	number   int // of all departures
+	number   int // rank among all departures
 }
 
 func (g departure) obsolete() bool { return !g.endpoint.gone || g.endpoint.departureNumber != g.number }
 
-// depart notes that the list has lost an endpoint.
+// markGone records that an endpoint is not listed any more.
 func (s *Sender) markGone(ep *endpointState) departure {
 	s.departureCount++
 	ep.inService, ep.gone, ep.goneAt, ep.departureNumber = false, true, s.now, s.departureCount
 	return departure{ep, s.departureCount}
 }
 
-// list brings the endpoints up to date. A drained or missing one gets nothing new from this step on.
+// onListUpdate applies a list of endpoints. One that drains or is gone gets nothing new from this step on.
 func (s *Sender) onListUpdate(e ListUpdate) {
 	before := s.departureCount
 	if e.Whole {
@@ -333,21 +359,22 @@
 		s.removeUnlisted(before, marked)
 	}
 	if len(s.absences) == 0 {
-		s.absences = map[EndpointID]absence{} // one that had all in it keeps its size
+		s.absences = map[EndpointID]absence{} // a map does not shrink, and this one may have held all endpoints
 	}
 	s.departures = slices.DeleteFunc(s.departures, departure.obsolete)
 	s.forgetGoneEndpoints()
 }
 
-// loss is an endpoint that a whole list does not name, awake or, by its number, at rest.
+// lostEndpoint is an endpoint that a complete list does not name.
 type lostEndpoint struct {
-	destinationSeq, seq uint32 // its place in the order of all
-	endpoint            *endpointState
-	id                  EndpointID
+	destinationSeq, seq uint32         // as in compareEndpoints
+	endpoint            *endpointState // nil if it is dormant
+	id                  EndpointID     // if it is dormant
 }
 
-// lose takes out what a whole list did not name, in the order of all, after what has been gone for longer and before what the list itself
-// says is gone. The numbers are of the last departures before the list and before its entries.
+// removeUnlisted processes the endpoints that a complete list does not name. Their departures are ordered as by
+// compareEndpoints, after those of earlier lists and before those that entries of this list report. before and marked
+// are the departure counts before the list and before its first entry.
 func (s *Sender) removeUnlisted(before, marked int) {
 	var lost []lostEndpoint
 	for at := range s.records.list {
@@ -391,7 +418,7 @@
 	}
 }
 
-// destSeq is the place of a destination at rest, that has one endpoint, in the order of all.
+// destinationSeq returns the seq of a dormant destination with one endpoint.
 func (s *Sender) destinationSeq(r *record) uint32 {
 	seq := r.seq
 	if r.state != 0 {
@@ -400,12 +427,7 @@
 	return seq
 }
 
-// inOrder is the order of all endpoints: that in which their destinations, and then they, were first heard of.
-func compareEndpoints(a, b *endpointState) int {
-	return cmp.Or(compareDestinations(a.destination, b.destination), cmp.Compare(a.seq, b.seq))
-}
-
-// setGone notes whether the list has lost an endpoint.
+// setGone records whether an active endpoint is gone from the list.
 func (s *Sender) setGone(ep *endpointState, gone bool) {
 	if gone && !ep.gone {
 		s.departures = append(s.departures, s.markGone(ep))
@@ -413,25 +435,25 @@
 	ep.gone = gone
 }
 
-// states is what is known of destinations at rest, packed, by size: to 256 bytes in steps of eight, then doubling. A state's
-// number is its size and its place among those of that size.
+// packedStates has the packed states of dormant destinations in classes by size: up to 256 bytes in steps of 8, then in
+// powers of two. A state's number consists of its size class, above stateIndexBits, and its index in that class.
 type packedStates [64]struct {
-	size int
+	size int // of each state of the class, in bytes
 	data []byte
-	free []uint32
+	free []uint32 // indexes of free places
 }
 
 const stateIndexBits = 24
 
-// put keeps a state and returns its number, 0 for an empty one; it is false if there are no numbers left.
-func (t *packedStates) put(text []byte) (no uint32, room bool) {
-	if len(text) == 0 {
+// put stores a packed state and returns its number, 0 for an empty one. It reports false if there are no numbers left.
+func (t *packedStates) put(packed []byte) (number uint32, ok bool) {
+	if len(packed) == 0 {
 		return 0, true
 	}
-	class := (len(text) + 7) / 8
+	class := (len(packed) + 7) / 8
 	size := 8 * class
 	if class > 32 {
-		class = 32 + bits.Len(uint((len(text)-1)/256))
+		class = 32 + bits.Len(uint((len(packed)-1)/256))
 		size = 256 << (class - 32)
 	}
 	if class >= len(t) {
@@ -439,26 +461,26 @@
 	}
 	c := &t[class]
 	c.size = size
-	place := uint32(len(c.data) / size)
+	i := uint32(len(c.data) / size)
 	if n := len(c.free); n > 0 {
-		place, c.free = c.free[n-1], c.free[:n-1]
-	} else if place>>stateIndexBits != 0 {
+		i, c.free = c.free[n-1], c.free[:n-1]
+	} else if i>>stateIndexBits != 0 {
 		return 0, false
 	} else {
 		c.data = append(c.data, make([]byte, size)...)
 	}
-	at := c.data[int(place)*size:][:size]
-	clear(at[copy(at, text):]) // zeros mean nothing at the end
-	return uint32(class)<<stateIndexBits | place, true
+	stored := c.data[int(i)*size:][:size]
+	clear(stored[copy(stored, packed):]) // the unpacker reads zero bytes at the end as zero values
+	return uint32(class)<<stateIndexBits | i, true
 }
 
-// get is a state, with zeros at its end, until the next change.
-func (t *packedStates) get(no uint32) []byte {
-	c := &t[no>>stateIndexBits]
-	return c.data[int(no&(1<<stateIndexBits-1))*c.size:][:c.size]
+// get returns a packed state, padded with zero bytes. The result is valid until the next change.
+func (t *packedStates) get(number uint32) []byte {
+	c := &t[number>>stateIndexBits]
+	return c.data[int(number&(1<<stateIndexBits-1))*c.size:][:c.size]
 }
 
-func (t *packedStates) drop(no uint32) {
-	c := &t[no>>stateIndexBits]
-	c.free = append(c.free, no&(1<<stateIndexBits-1))
+func (t *packedStates) drop(number uint32) {
+	c := &t[number>>stateIndexBits]
+	c.free = append(c.free, number&(1<<stateIndexBits-1))
 }
--- a/rules/state.go
+++ b/rules/state.go
@@ -9,12 +9,13 @@
 	"time"
 )
 
-// This file holds what a sender keeps in mind and how it is booked. It decides nothing.
+// This file owns the state of a sender: its types, how messages and calls are added to it and removed from it, and the
+// helpers that read it. Destinations and endpoints are added and removed in record.go. It must make no decisions.
 
-// meter measures a rate over a fading span.
+// decayingRate measures a rate, with exponentially decaying weights. Its methods take the time constant as span.
 type decayingRate struct {
-	sum  float64
-	last time.Duration
+	sum  float64       // decayed count, as of last
+	last time.Duration // time of the last addition
 }
 
 func (m *decayingRate) add(now, span time.Duration, n float64) {
@@ -26,103 +27,116 @@
 	return m.sum * math.Exp(-(now-m.last).Seconds()/span.Seconds()) / span.Seconds()
 }
 
-// lane is what has one limit: a destination, or an endpoint where routes are apart.
+// limitScope is what shares one rate limit: a destination, or a single endpoint if its kind has RoutesApart.
 type limitScope struct {
 	controller          rateController
-	inFlight            int
-	consecutiveRefusals int           // in a row, each of a call sent after the one before was refused
-	firstRefusedAt      time.Duration // the first of them
-	reportedLimit       float64       // limit that the destination told, shared by all senders
-	lastAnsweredAt      time.Duration // the last answer, 0 for none
+	inFlight            int           // calls
+	consecutiveRefusals int           // each of a call sent after the refusal before
+	firstRefusedAt      time.Duration // send time of the first of them
+	reportedLimit       float64       // calls a second over all senders, as the destination reported it; 0 if it did not
+	lastAnsweredAt      time.Duration // 0 for no answer yet
+}
+
+// rateController is the AIMD rate limiter of one limit scope. Until the first refusal it sets no limit.
+type rateController struct {
+	rate, increase           float64 // calls a second; 0 for no limit
+	lastDecrease, lastChange time.Duration
+	lastRefusal              time.Duration
+	lastLimited              time.Duration // when a message last waited for the rate
+	nextSend                 time.Duration // earliest time of the next call
+	notBefore                time.Duration // end of the latest Retry-After
+	sentRate, refusedRate    decayingRate
 }
 
 type health int
 
 const (
 	healthy   health = iota
-	probation        // sparse trial calls only
-	slowStart        // back from an outage, and cold
+	probation        // ejected: occasional probes only
+	slowStart        // back from an outage and not warm yet
 )
 
-// timing is how long calls take, smoothed.
+// timing is how long calls take to be answered, smoothed exponentially.
 type timing struct {
-	latency, spread float64 // seconds
-	known           bool    // there is a sample
+	latency, spread float64 // mean and mean deviation, in seconds
+	known           bool    // at least one sample was taken
 }
 
-// service is how an endpoint treats one class: it may fail or swallow one and serve the others.
+// classHealth is how an endpoint treats one class. It may fail or ignore calls of one class and serve the others.
 type classHealth struct {
 	timing
 	class               int
-	next                *classHealth  // of the same endpoint
+	next                *classHealth  // next class of the same endpoint
 	consecutiveFailures int           // calls failed or overdue since the last answer
-	openUntil           time.Duration // no call of the class before, if another endpoint takes it
-	hints               decayingRate  // what other senders say of it
+	openUntil           time.Duration // the circuit breaker of the class is open until then
+	hints               decayingRate  // hints from other senders
 }
 
-// endpoint is one place that takes calls, with what this sender has seen of it.
+// endpointState is what this sender knows of one endpoint.
 type endpointState struct {
 	id              EndpointID
-	seq             uint32 // in the order first heard of
+	seq             uint32 // rank by when it was first seen, see Sender.lastSeq
 	zone            int
 	kind            int
 	destination     *destinationState
 	limitScope      *limitScope
-	inService       bool
-	gone            bool // from the list, not just draining
+	inService       bool // listed and not draining
+	gone            bool // not listed any more
 	goneAt          time.Duration
-	departureNumber int     // the number of that, of all that left the list
-	listedRate      float64 // listed rate
-	calls           []*call // out, oldest first
+	departureNumber int     // rank of its latest departure among all departures
+	listedRate      float64 // calls a second; 0 if not listed
+	calls           []*call // in flight, oldest first
 	timing
-	classes *classHealth // the first of those that were asked for
+	classes *classHealth // linked list of the classes accessed so far
 
 	health               health
-	symptom              Outcome
-	healthSince          time.Duration // when the present health began
-	consecutiveFailures  int           // in a row
-	failingSince         time.Duration // since when
-	lastFailedSentAt     time.Duration // the last call known to have failed was made
+	symptom              Outcome       // the failure that put it on probation
+	healthSince          time.Duration // start of the current health; may lie in the future
+	consecutiveFailures  int
+	failingSince         time.Duration // start of these failures, or of the latest outage
+	lastFailedSentAt     time.Duration // send time of the latest call known to have failed
 	lastAnsweredAt       time.Duration
-	lastAnsweredSentAt   time.Duration // the last call known to be answered was made
+	lastAnsweredSentAt   time.Duration // send time of the latest call known to be answered
 	deliveredRate        decayingRate
 	preOutageRate        float64       // calls a second delivered before the outage
-	lastCharged          time.Duration // the last call
-	warmUpCredit         time.Duration // on slow start, what counts as warm-up at least
-	probeInterval        time.Duration // on probation, from that to the next, as it was reckoned then
-	connectionsRenewedAt time.Duration // when its connections were last renewed for silence
+	lastCharged          time.Duration // time of the last call, for the slow start budget
+	warmUpCredit         time.Duration // on slow start: time that counts as warm-up at least
+	probeInterval        time.Duration // on probation: from lastCharged to the next probe, as computed at lastCharged
+	connectionsRenewedAt time.Duration // when its connections were last renewed as it did not answer
 
-	connectRefusals  int           // connections turned away in a row, as the endpoint held all it can
-	connectNotBefore time.Duration // no call before, after such a one
+	connectRefusals  int           // connects in a row that failed at its connection limit
+	connectNotBefore time.Duration // no call before, after such a connect
 
-	peakCalls int // most calls out at once while connections stayed open
-	lastUsed  time.Duration
+	peakCalls int           // most calls in flight at once while connections stayed open
+	lastUsed  time.Duration // when the last call was made
 }
 
+// destinationState is what this sender knows of one destination.
 type destinationState struct {
 	number    int
-	seq       uint32 // in the order first heard of
-	pinned    bool   // an endpoint of it is told of in a message for another
+	seq       uint32 // rank by when it was first seen, see Sender.lastSeq
+	pinned    bool   // must stay active: a message for another destination refers to one of its endpoints
 	endpoints []*endpointState
 	backlog
-	servedRate     decayingRate
-	arrivalRate    decayingRate  // arrivals
-	retryNotBefore time.Duration // no call before at endpoints that failed
+	servedRate     decayingRate  // messages delivered
+	arrivalRate    decayingRate  // messages accepted
+	retryNotBefore time.Duration // no call before to endpoints that failed
 }
 
-// call is what travels at once: the messages sent to one endpoint in one step.
+// call is one request: the messages sent to one endpoint in one step.
 type call struct {
 	endpoint      *endpointState
 	sentAt        time.Duration
 	attempts      []*attempt
-	openAttempts  int // attempts without an outcome
-	assessed      bool
-	openedBreaker bool // its class was held against the endpoint
-	hintPublished bool // to the other senders
-	recalled      bool // as far as it was not written yet
+	openAttempts  int  // attempts without an outcome
+	assessed      bool // its first outcome was counted for the endpoint
+	openedBreaker bool // it was counted for the circuit breaker of its class
+	hintPublished bool // it was counted for a hint to the other senders
+	recalled      bool
 	cancelled     bool
 }
 
+// attempt is one message's part in one call.
 type attempt struct {
 	id      MessageID
 	number  int
@@ -135,6 +149,7 @@
 	number int
 }
 
+// message is a message that was accepted. One with its final answer is kept only as long as it has attempts in flight.
 type message struct {
 	treeNode
 	id              MessageID
@@ -142,82 +157,118 @@
 	class           *Class
 	classIndex      int
 	tenant          int
-	orderQueue      *orderQueue
+	orderQueue      *orderQueue // nil without an order key
 	deadline        time.Duration
 	attemptCount    int
-	recalls         int // attempts called back, which are no tries but have numbers
+	recalls         int // attempts recalled: they are numbered but not counted as attempts
 	inFlight        []*attempt
 	mayHaveRunSince time.Duration // send time of the earliest attempt that may have run; never if none
 	mayHaveRunOn    *endpointState
-	streamed        bool
+	streamed        bool          // its answer has begun
 	notBefore       time.Duration // no attempt before, after a refusal
 	finished        bool
 }
 
-// turn keeps the order of one key.
+// orderQueue has the messages of one order key, which are sent one at a time.
 type orderQueue struct {
-	messages    []*message
-	inFlight    int // attempts out, of all its messages
+	messages    []*message // in order of arrival
+	inFlight    int        // attempts, of all messages of the key, those that left the queue included
 	pausedUntil time.Duration
-	pausedBy    *message
+	pausedBy    *message // whose attempt caused the pause; the pause does not apply to it
+}
+
+// plan is a call that could be made now.
+type plan struct {
+	endpoint *endpointState // nil for no call
+	messages []*message
+	score    float64
 }
 
-// Sender decides for one sender; it knows only what its own events told it.
+// Sender makes the decisions of one sender. It knows only what the events passed to Step reported.
 type Sender struct {
 	dormantState
 
-	settings                   Settings
-	rng                        *rand.Rand
-	now                        time.Duration
-	endpoints                  map[EndpointID]*endpointState
-	destinations               map[int]*destinationState
-	backlogged                 []*destinationState    // those that have messages, in the order first heard of
-	lastMessageSeq             int                    // messages taken so far
-	deadlineTimers             timerHeap              // the due times of what is held
-	windowTimers               timerHeap              // the ends of keys' windows, and what can be tried no more
-	pauseTimers                timerHeap              // the ends of pauses after refusals
-	mayHaveRunCounts           map[*endpointState]int // messages held that may have run there
-	plans                      []plan                 // reused by dispatch
-	subtrees                   []subtree              // reused by rankings
-	expiryCheckedAt            time.Duration          // paces lapse as of then, whenever they are next looked at
-	held                       map[MessageID]*message
-	attempts                   map[attemptKey]*attempt
-	departures                 []departure // oldest first
-	orderQueues                map[string]*orderQueue
-	orderQueuesKept            int      // when they were last looked through
-	calls                      []*call  // out, oldest first; each holds a slot
+	settings   Settings
+	totalQuota float64 // of all tenants
+	rng        *rand.Rand
+	now        time.Duration // of the current step
+	startedAt  time.Duration // of the first step
+	stalled    bool          // this step comes long after the requested wake-up
+	shutdownAt time.Duration // when the process ends; never if it is not known
+
+	// Active destinations and their endpoints. Dormant ones are in dormantState.
+	endpoints    map[EndpointID]*endpointState
+	destinations map[int]*destinationState
+	lastSeq      uint32      // endpoints and destinations seen so far; the last one's seq
+	departures   []departure // oldest first
+
+	// Messages.
+	held             map[MessageID]*message
+	backlogged       []*destinationState    // those with messages, by seq
+	lastMessageSeq   int                    // messages accepted so far
+	deadlineTimers   timerHeap              // when messages must be answered
+	windowTimers     timerHeap              // when messages can no longer be retried
+	pauseTimers      timerHeap              // when pauses after refusals end
+	mayHaveRunCounts map[*endpointState]int // messages held that may have run there
+	orderQueues      map[string]*orderQueue
+	orderQueuesKept  int // number of order queues after the last cleanup
+
+	// Calls.
+	calls              []*call                 // in flight, oldest first; each takes a slot
+	attempts           map[attemptKey]*attempt // in flight
+	overdueCalls       int                     // calls in flight that are unusually late
+	endedCallEndpoints []*endpointState        // had a call end in this step
+
+	// Measurements.
 	classTimings               []timing // of all endpoints, by class
+	slowness                   float64  // recent latency over the earlier latency at the same endpoint, smoothed
 	tenantArrivals             []decayingRate
 	totalArrivals              decayingRate
-	brokenConnections          decayingRate     // silences that a fresh connection ended
-	totalQuota                 float64          // of all tenants
-	slowness                   float64          // how long answers take lately, over what they took before at the same endpoint
-	answersSinceConnectRefusal map[int]int      // by kind, answers since a connect was turned away; below startOpen connections are yielded
-	endedCallEndpoints         []*endpointState // had a call end in this step
-	callEndpoints              []*endpointState // reused by calling
-	overdueCalls               int              // calls out that are unusually late
-	lastSeq                    uint32           // endpoints and destinations heard of so far
-	wakeAt                     time.Duration
-	watchAt                    time.Duration
-	shutdownAt                 time.Duration // of the process
-	startedAt                  time.Duration // of the first step
-	stalled                    bool          // the sender stood still: this step comes long after it was asked for
-	actions                    []Action
-
+	brokenConnections          decayingRate  // unresponsive spells that a fresh connection ended
+	answersSinceConnectRefusal map[int]int   // by kind; below keepOpenAnswers idle connections are closed
+	expiryCheckedAt            time.Duration // rate controllers expire as of then, whenever they are used next
+
+	// Output.
+	wakeAt       time.Duration // when the requested wake-up is due; never for none
+	watchAt      time.Duration // when to emit Watch; never for not at all
+	actions      []Action      // of the current step
 	observations Observations
+
+	// Buffers that are reused.
+	plans         []plan           // reused by dispatch
+	subtrees      []subtree        // reused by rankings
+	callEndpoints []*endpointState // reused by endpointsWithCalls
 }
 
 // New returns a sender that knows nothing but its settings.
-func New(set Settings) *Sender {
-	s := &Sender{dormantState: dormantState{records: newRecordTable(), deactivateAfter: deactivateAfter, absences: map[EndpointID]absence{}}, settings: set,
-		rng: rand.New(rand.NewPCG(set.Seed, 0)), wakeAt: never, watchAt: never, shutdownAt: never, startedAt: never,
-		endpoints: map[EndpointID]*endpointState{}, destinations: map[int]*destinationState{}, held: map[MessageID]*message{},
-		attempts: map[attemptKey]*attempt{}, orderQueues: map[string]*orderQueue{}, answersSinceConnectRefusal: map[int]int{}, mayHaveRunCounts: map[*endpointState]int{}, tenantArrivals: make([]decayingRate, len(set.Tenants)),
-		classTimings: make([]timing, len(set.Classes)), slowness: 1}
-	for _, t := range set.Tenants {
+func New(settings Settings) *Sender {
+	s := &Sender{
+		dormantState: dormantState{
+			records:         newRecordTable(),
+			deactivateAfter: deactivateAfter,
+			absences:        map[EndpointID]absence{},
+		},
+		settings:                   settings,
+		rng:                        rand.New(rand.NewPCG(settings.Seed, 0)),
+		wakeAt:                     never,
+		watchAt:                    never,
+		shutdownAt:                 never,
+		startedAt:                  never,
+		endpoints:                  map[EndpointID]*endpointState{},
+		destinations:               map[int]*destinationState{},
+		held:                       map[MessageID]*message{},
+		attempts:                   map[attemptKey]*attempt{},
+		orderQueues:                map[string]*orderQueue{},
+		answersSinceConnectRefusal: map[int]int{},
+		mayHaveRunCounts:           map[*endpointState]int{},
+		tenantArrivals:             make([]decayingRate, len(settings.Tenants)),
+		classTimings:               make([]timing, len(settings.Classes)),
+		slowness:                   1,
+	}
+	for _, t := range settings.Tenants {
 		s.totalQuota += t.Quota
 	}
-	if set.WatchesRegistry {
+	if settings.WatchesRegistry {
 		s.watchAt = 0
 	}
 	return s
@@ -225,7 +276,7 @@
 
 func (s *Sender) emit(a Action) { s.actions = append(s.actions, a) }
 
-// destination returns the destination of a number, awake, a new one if it is not known.
+// destination returns the destination with a number. It is activated if it is dormant and created if it is not known.
 func (s *Sender) destination(n int) *destinationState {
 	d := s.destinations[n]
 	if d == nil && int(int32(n)) == n {
@@ -239,6 +290,7 @@
 	return d
 }
 
+// kind returns the settings of an endpoint's kind, or plain ones for a kind without settings.
 func (s *Sender) kind(ep *endpointState) Kind {
 	if ep.kind < len(s.settings.Kinds) {
 		return s.settings.Kinds[ep.kind]
@@ -246,11 +298,86 @@
 	return Kind{Batch: 1}
 }
 
-// take accepts a message; from here on one final answer is owed.
+func compareDestinations(a, b *destinationState) int { return cmp.Compare(a.seq, b.seq) }
+
+// compareEndpoints orders endpoints by when their destinations, then the endpoints themselves, were first seen.
+func compareEndpoints(a, b *endpointState) int {
+	return cmp.Or(compareDestinations(a.destination, b.destination), cmp.Compare(a.seq, b.seq))
+}
+
+// forgetGoneEndpoints drops endpoints that have been gone for goneRetention, so that endpoints replaced all day long
+// leave nothing behind. One stays as long as it has a call in flight, a Retry-After of its limit scope lasts or a
+// message held may have run there. The last endpoint of a destination stays until another is listed, which takes over
+// its limit scope and its failures.
+func (s *Sender) forgetGoneEndpoints() {
+	s.departures = slices.DeleteFunc(s.departures, func(g departure) bool {
+		ep, d := g.endpoint, g.endpoint.destination
+		if s.now-ep.goneAt < goneRetention || len(ep.calls) > 0 || s.now < ep.limitScope.controller.notBefore ||
+			len(d.endpoints) == 1 || s.mayHaveRunCounts[ep] > 0 {
+			return false
+		}
+		d.endpoints = without(d.endpoints, ep)
+		delete(s.endpoints, ep.id)
+		s.emit(EndpointForgotten{Endpoint: ep.id})
+		return true
+	})
+}
+
+// earliestOf returns the earliest of the given times of a destination's endpoints in service, never if there are none.
+func (d *destinationState) earliestOf(at func(*endpointState) time.Duration) time.Duration {
+	least := never
+	for _, ep := range d.endpoints {
+		if ep.inService {
+			least = min(least, at(ep))
+		}
+	}
+	return least
+}
+
+// endpointCount returns how many endpoints of a destination are listed, or 1 if there are none.
+func (d *destinationState) endpointCount() int {
+	n := 0
+	for _, ep := range d.endpoints {
+		if !ep.gone {
+			n++
+		}
+	}
+	return max(n, 1)
+}
+
+// hasWaiting reports whether a destination has messages with no attempt in flight.
+func (d *destinationState) hasWaiting() bool { return d.held > d.inFlight }
+
+// backlogSeconds returns how many seconds it takes to deliver a destination's messages at its recent rate.
+func (s *Sender) backlogSeconds(d *destinationState) float64 {
+	return float64(d.held) / max(d.servedRate.perSecond(s.now, trafficSpan), 1e-3)
+}
+
+// seconds converts x seconds, up to a limit of 1e6, to a Duration.
+func seconds(x float64) time.Duration { return time.Duration(min(x, 1e6) * float64(time.Second)) }
+
+// without removes the first x from a list, in place.
+func without[T comparable](list []T, x T) []T {
+	if i := slices.Index(list, x); i >= 0 {
+		return slices.Delete(list, i, i+1)
+	}
+	return list
+}
+
+// accept adds a message. From here on the sender has to give it exactly one final answer.
 func (s *Sender) accept(e Arrived) {
 	s.lastMessageSeq++
-	m := &message{treeNode: treeNode{seq: s.lastMessageSeq, priority: mixBits(s.lastMessageSeq)}, id: e.ID, destination: s.destination(e.Destination), class: &s.settings.Classes[e.Class], classIndex: e.Class, tenant: e.Tenant,
-		deadline: s.now + e.TimeLeft, attemptCount: e.Prior.Count, mayHaveRunSince: never}
+	m := &message{
+		treeNode:        treeNode{seq: s.lastMessageSeq, priority: mixBits(s.lastMessageSeq)},
+		id:              e.ID,
+		destination:     s.destination(e.Destination),
+		class:           &s.settings.Classes[e.Class],
+		classIndex:      e.Class,
+		tenant:          e.Tenant,
+		deadline:        s.now + e.TimeLeft,
+		attemptCount:    e.Prior.Count,
+		mayHaveRunSince: never,
+	}
 	if e.Prior.MayHaveRun {
 		s.setMayHaveRun(m, s.endpoint(e.Prior.Endpoint), s.now-e.Prior.Age)
 		if at := m.mayHaveRunOn; at != nil && at.destination != m.destination {
@@ -279,7 +406,7 @@
 	}
 }
 
-// forget drops a message that is over, nil for one not held; outcomes of its attempts may still come.
+// forget removes a finished message; m may be nil. Outcomes of its attempts may still follow.
 func (s *Sender) forget(m *message) {
 	if m == nil {
 		return
@@ -305,23 +432,33 @@
 	}
 }
 
-// leave takes a message out of the queue of its key; the next one may be first from now on.
-func (s *Sender) leaveOrderQueue(t *orderQueue, m *message) {
-	i, _ := slices.BinarySearchFunc(t.messages, m, func(a, b *message) int { return a.seq - b.seq })
+// leaveOrderQueue removes a message from its order queue. The next one may become first and ready by that.
+func (s *Sender) leaveOrderQueue(q *orderQueue, m *message) {
+	i, _ := slices.BinarySearchFunc(q.messages, m, func(a, b *message) int { return a.seq - b.seq })
 	if i > 0 {
-		t.messages = slices.Delete(t.messages, i, i+1)
+		q.messages = slices.Delete(q.messages, i, i+1)
 		return
 	}
-	t.messages[0], t.messages = nil, t.messages[1:] // which moves nothing
-	if len(t.messages) > 0 && t.messages[0].group != nil {
-		s.enqueue(t.messages[0])
+	q.messages[0], q.messages = nil, q.messages[1:] // unlike slices.Delete, this moves no elements
+	if len(q.messages) > 0 && q.messages[0].group != nil {
+		s.enqueue(q.messages[0])
 	}
 }
 
-func compareDestinations(a, b *destinationState) int { return cmp.Compare(a.seq, b.seq) }
+// dropIdleOrderQueues removes the order queues that have no effect any more. It does so each time their number has
+// doubled.
+func (s *Sender) dropIdleOrderQueues() {
+	if len(s.orderQueues) < 2*s.orderQueuesKept+64 {
+		return
+	}
+	maps.DeleteFunc(s.orderQueues, func(_ string, q *orderQueue) bool {
+		return len(q.messages) == 0 && q.inFlight == 0 && s.now >= q.pausedUntil
+	})
+	s.orderQueuesKept = len(s.orderQueues)
+}
 
-// endsNext is the next moment at which a message may have to be ended by the clock alone: its due time, or the end of its
-// key's window. What is spent already is due at once.
+// nextEndCheck returns the next time at which a message may have to be ended without a further event: its answer
+// deadline or the end of its deduplication window. For one that cannot be retried any more that is now.
 func (s *Sender) nextEndCheck(m *message) time.Duration {
 	switch {
 	case m.streamed:
@@ -334,10 +471,11 @@
 	return s.answerDeadline(m)
 }
 
-// windowEnd is when the destination may forget the key of a message that may have run.
+// windowEnd returns when the destination may forget the key of a message that may have run.
 func (m *message) windowEnd() time.Duration { return m.mayHaveRunSince + m.class.Window }
 
-// windowLeft is what is left of the window of a keyed message that may have run, 0 for one that is bound to none.
+// windowLeft returns how much is left of the deduplication window of a keyed message that may have run, and 0 for any
+// other message.
 func (s *Sender) windowLeft(m *message) time.Duration {
 	if m.class.Effect != Keyed || m.mayHaveRunSince == never {
 		return 0
@@ -345,9 +483,10 @@
 	return m.windowEnd() - s.now - s.settings.Tick
 }
 
+// done reports whether the sender has nothing more to decide about a message.
 func (m *message) done() bool { return m.finished || m.streamed }
 
-// earliestDue is the earliest due time of what is held and not streamed, never if there is none.
+// earliestDue returns the earliest answer deadline of the messages held, streamed ones excepted, or never.
 func (s *Sender) earliestDue() time.Duration {
 	for len(s.deadlineTimers.timers) > 0 && s.deadlineTimers.timers[0].message.done() {
 		s.deadlineTimers.pop()
@@ -355,98 +494,7 @@
 	return s.deadlineTimers.earliest()
 }
 
-// calling lists the endpoints that have calls out, in the order of the list.
-func (s *Sender) endpointsWithCalls() []*endpointState {
-	s.callEndpoints = s.callEndpoints[:0]
-	for _, c := range s.calls {
-		if c.endpoint.calls[0] == c {
-			s.callEndpoints = append(s.callEndpoints, c.endpoint)
-		}
-	}
-	slices.SortFunc(s.callEndpoints, compareEndpoints)
-	return s.callEndpoints
-}
-
-// forgetGone drops endpoints that have long been gone, once nothing of them is out, no wait told by them lasts and no
-// message may have run there, so that endpoints that are replaced all day long leave nothing behind. The last of a
-// destination stays until another comes, as a new one takes its lane and its failures from those there.
-func (s *Sender) forgetGoneEndpoints() {
-	s.departures = slices.DeleteFunc(s.departures, func(g departure) bool {
-		ep, d := g.endpoint, g.endpoint.destination
-		if s.now-ep.goneAt < goneRetention || len(ep.calls) > 0 || s.now < ep.limitScope.controller.notBefore || len(d.endpoints) == 1 || s.mayHaveRunCounts[ep] > 0 {
-			return false
-		}
-		d.endpoints = without(d.endpoints, ep)
-		delete(s.endpoints, ep.id)
-		s.emit(EndpointForgotten{Endpoint: ep.id})
-		return true
-	})
-}
-
-// soonest is the least of what is told of a destination's listed endpoints, never if there are none.
-func (d *destinationState) earliestOf(at func(*endpointState) time.Duration) time.Duration {
-	least := never
-	for _, ep := range d.endpoints {
-		if ep.inService {
-			least = min(least, at(ep))
-		}
-	}
-	return least
-}
-
-// width is how many endpoints a destination has, one at least.
-func (d *destinationState) endpointCount() int {
-	n := 0
-	for _, ep := range d.endpoints {
-		if !ep.gone {
-			n++
-		}
-	}
-	return max(n, 1)
-}
-
-// dropTurns forgets the keys of which nothing is about any more, each time their number has doubled.
-func (s *Sender) dropIdleOrderQueues() {
-	if len(s.orderQueues) < 2*s.orderQueuesKept+64 {
-		return
-	}
-	maps.DeleteFunc(s.orderQueues, func(_ string, t *orderQueue) bool {
-		return len(t.messages) == 0 && t.inFlight == 0 && s.now >= t.pausedUntil
-	})
-	s.orderQueuesKept = len(s.orderQueues)
-}
-
-func seconds(x float64) time.Duration { return time.Duration(min(x, 1e6) * float64(time.Second)) }
-
-func without[T comparable](list []T, x T) []T {
-	if i := slices.Index(list, x); i >= 0 {
-		return slices.Delete(list, i, i+1)
-	}
-	return list
-}
-
-// anyWaits tells whether a destination has messages with no attempt out.
-func (d *destinationState) hasWaiting() bool { return d.held > d.inFlight }
-
-// pace is the design's AIMD limiter: calls a second for one lane, unbounded (rate 0) until a refusal.
-type rateController struct {
-	rate, increase           float64
-	lastDecrease, lastChange time.Duration
-	lastRefusal              time.Duration
-	lastLimited              time.Duration // when a message last waited for the pace
-	nextSend                 time.Duration // the next call may leave now
-	notBefore                time.Duration // a told wait
-	sentRate, refusedRate    decayingRate
-}
-
-// plan is a call that could be made now.
-type plan struct {
-	endpoint *endpointState
-	messages []*message
-	score    float64
-}
-
-// open books a call of the messages to an endpoint.
+// openCall records a call with the given messages to an endpoint.
 func (s *Sender) openCall(ep *endpointState, msgs []*message) *call {
 	c := &call{endpoint: ep, sentAt: s.now, openAttempts: len(msgs)}
 	for _, m := range msgs {
@@ -474,7 +522,8 @@
 	return c
 }
 
-// close books the outcome of an attempt and returns it, nil for one not known or told before.
+// closeAttempt records the outcome of an attempt and returns the attempt. It returns nil if the attempt is not known or
+// already has an outcome.
 func (s *Sender) closeAttempt(e AttemptEnded) *attempt {
 	key := attemptKey{e.ID, e.Attempt}
 	a := s.attempts[key]
@@ -504,13 +553,13 @@
 	return a
 }
 
-// class is that of a call's first message.
+// class returns the class of a call, which is that of its first message.
 func (c *call) class() int { return c.attempts[0].message.classIndex }
 
-// service is how the call's endpoint treats its class.
+// classHealth returns how the call's endpoint treats the call's class.
 func (c *call) classHealth() *classHealth { return c.endpoint.classHealth(c.class()) }
 
-// service is how an endpoint treats a class.
+// classHealth returns how an endpoint treats a class.
 func (ep *endpointState) classHealth(class int) *classHealth {
 	for v := ep.classes; v != nil; v = v.next {
 		if v.class == class {
@@ -521,24 +570,24 @@
 	return ep.classes
 }
 
-// cancel calls off what a call, if there is one, has out.
+// cancelCall cancels the attempts of a call that are in flight; c may be nil.
 func (s *Sender) cancelCall(c *call) {
 	if c == nil || c.cancelled || !s.settings.MayCancel {
 		return
 	}
 	c.cancelled = true
-	s.emitForOpenAttempts(c, func(id MessageID, num int) Action { return Cancel{ID: id, Attempt: num} })
+	s.emitForOpenAttempts(c, func(id MessageID, number int) Action { return Cancel{ID: id, Attempt: number} })
 }
 
-// turnBack calls a call back, once.
+// recallCall recalls a call. It does so once for each call.
 func (s *Sender) recallCall(c *call) {
 	if !c.recalled {
 		c.recalled = true
-		s.emitForOpenAttempts(c, func(id MessageID, num int) Action { return Recall{ID: id, Attempt: num} })
+		s.emitForOpenAttempts(c, func(id MessageID, number int) Action { return Recall{ID: id, Attempt: number} })
 	}
 }
 
-// actOn does the same to each of a call's attempts that is still out and the sender's.
+// emitForOpenAttempts emits an action for each attempt of a call that is in flight and whose answer has not begun.
 func (s *Sender) emitForOpenAttempts(c *call, action func(MessageID, int) Action) {
 	for _, a := range c.attempts {
 		if s.attempts[attemptKey{a.id, a.number}] == a && !a.message.streamed {
@@ -547,17 +596,26 @@
 	}
 }
 
-// backlog is how many seconds a destination's held messages take at its recent rate.
-func (s *Sender) backlogSeconds(d *destinationState) float64 {
-	return float64(d.held) / max(d.servedRate.perSecond(s.now, trafficSpan), 1e-3)
+// endpointsWithCalls returns the endpoints that have calls in flight, in the order of compareEndpoints. The result is
+// valid until the next call.
+func (s *Sender) endpointsWithCalls() []*endpointState {
+	s.callEndpoints = s.callEndpoints[:0]
+	for _, c := range s.calls {
+		if c.endpoint.calls[0] == c {
+			s.callEndpoints = append(s.callEndpoints, c.endpoint)
+		}
+	}
+	slices.SortFunc(s.callEndpoints, compareEndpoints)
+	return s.callEndpoints
 }
 
-// crowded tells whether the endpoint's connection table may be full: many share it, and it is not proven otherwise.
+// connectionsScarce reports whether the endpoint may be at its connection limit: in a large fleet, until enough calls
+// of its kind were answered since the last connect that was refused.
 func (s *Sender) connectionsScarce(ep *endpointState) bool {
 	return s.settings.Senders > smallFleet && s.answersSinceConnectRefusal[ep.kind] < keepOpenAnswers
 }
 
-// quiet is how long an endpoint with calls out has answered nothing.
+// unansweredFor returns how long an endpoint with calls in flight has not answered, and 0 for one without.
 func (s *Sender) unansweredFor(ep *endpointState) time.Duration {
 	if len(ep.calls) == 0 {
 		return 0
