--- a/rules/backlog.go
+++ b/rules/backlog.go
@@ -7,47 +7,48 @@
 	"time"
 )
 
-// This file keeps what a destination's messages wait in, so that finding the best of them does not mean to look at all. It
-// decides nothing: what a message is worth, and where that changes its course, is told by the rules.
+// This file owns the data structures in which a destination's messages wait. They find the best messages without
+// looking at all of them. This file must make no decisions: the values of messages, and the breakpoints between which
+// they are monotonic in the deadline, are passed in by the callers.
 
-// backlog is what is held for one destination.
+// backlog has the messages held for one destination.
 type backlog struct {
 	held     int           // messages
-	inFlight int           // of them, with attempts out
-	groups   []*group      // of those that wait
-	firstDue time.Duration // none of those that wait is due before; may be early
+	inFlight int           // those of them with attempts in flight
+	groups   []*group      // the waiting messages
+	firstDue time.Duration // lower bound of the answer deadlines of the waiting messages
 }
 
-// likeness is all of a waiting message that a choice looks at, but its time.
+// groupKey is all that a choice among waiting messages considers, except their deadlines and order of arrival.
 type groupKey struct {
 	classIndex, tenant, attemptCount int
-	mayHaveRun                       bool // may have run, where that matters
+	mayHaveRun                       bool // never set for Safe, where it does not matter
 	mayHaveRunOn                     *endpointState
-	ready                            bool // neither paused nor behind another one of its key
+	ready                            bool // neither paused nor behind another message of its order key
 }
 
-// group is messages that wait and differ in their time alone: a treap by deadline and, of equals, by arrival. Each node knows the
-// oldest and newest arrival below it.
+// group has the waiting messages with the same key, in a treap ordered by deadline, then arrival. Each node has the
+// range of arrivals in its subtree.
 type group struct {
 	groupKey
 	root *message
 }
 
-// node is a message's place in its group.
+// treeNode is a message's node in the tree of its group.
 type treeNode struct {
-	group                *group // nil for one that does not wait
-	seq                  int    // in the order of arrival
+	group                *group // nil for a message that does not wait
+	seq                  int    // rank by arrival
 	left, right          *message
-	priority             uint64 // the heavier is above
-	oldestSeq, newestSeq int    // arrivals in the tree from here down
+	priority             uint64 // heap order of the treap: higher than in the nodes below
+	oldestSeq, newestSeq int    // range of seq in the subtree
 }
 
-// before orders messages by deadline and, of equals, by arrival.
+// before orders messages by deadline, then by arrival.
 func (m *message) before(o *message) bool {
 	return m.deadline < o.deadline || m.deadline == o.deadline && m.seq < o.seq
 }
 
-// sum brings what a node knows of those below up to date.
+// updateSeqRange recomputes the range of a node's subtree from its children.
 func (m *message) updateSeqRange() {
 	m.oldestSeq, m.newestSeq = m.seq, m.seq
 	for _, sub := range [...]*message{m.left, m.right} {
@@ -57,7 +58,7 @@
 	}
 }
 
-// insert adds a message to a tree and returns its new root.
+// insertMessage adds a message to a tree and returns the new root.
 func insertMessage(t, m *message) *message {
 	switch {
 	case t == nil:
@@ -76,7 +77,7 @@
 	return t
 }
 
-// split parts a tree into what comes before a message and the rest.
+// splitTree splits a tree into the messages before m and the rest.
 func splitTree(t, m *message) (before, after *message) {
 	switch {
 	case t == nil:
@@ -92,7 +93,7 @@
 	return before, after
 }
 
-// join makes one tree of two, all of the first before all of the second.
+// mergeTrees merges two trees, where all messages of a are before all of b.
 func mergeTrees(a, b *message) *message {
 	switch {
 	case a == nil:
@@ -109,7 +110,7 @@
 	return b
 }
 
-// remove takes a message that is there out of a tree and returns its new root.
+// removeMessage removes a message from the tree that it is in and returns the new root.
 func removeMessage(t, m *message) *message {
 	if t == m {
 		rest := mergeTrees(m.left, m.right)
@@ -125,15 +126,15 @@
 	return t
 }
 
-// file puts a message where it belongs by what is known of it now: into the group of its like if it waits. It notes when the
-// clock alone may change that.
+// enqueue moves a message to the group of its current key if it waits, and out of all groups else. It sets timers for
+// the times at which that may change without an event.
 func (s *Sender) enqueue(m *message) {
 	d := m.destination
 	if m.group != nil {
 		s.dequeue(m)
 	}
-	if ends := s.nextEndCheck(m); ends < s.answerDeadline(m) {
-		s.addTimer(&s.windowTimers, m, ends)
+	if at := s.nextEndCheck(m); at < s.answerDeadline(m) {
+		s.addTimer(&s.windowTimers, m, at)
 	}
 	if m.done() || len(m.inFlight) > 0 {
 		return
@@ -141,22 +142,26 @@
 	if m.notBefore > s.now {
 		s.addTimer(&s.pauseTimers, m, m.notBefore)
 	}
-	like := groupKey{classIndex: m.classIndex, tenant: m.tenant, attemptCount: m.attemptCount,
-		ready: m.notBefore <= s.now && (m.orderQueue == nil || m.orderQueue.messages[0] == m)}
+	key := groupKey{
+		classIndex:   m.classIndex,
+		tenant:       m.tenant,
+		attemptCount: m.attemptCount,
+		ready:        m.notBefore <= s.now && (m.orderQueue == nil || m.orderQueue.messages[0] == m),
+	}
 	if m.mayHaveRunSince != never && m.class.Effect != Safe {
-		like.mayHaveRun, like.mayHaveRunOn = true, m.mayHaveRunOn
+		key.mayHaveRun, key.mayHaveRunOn = true, m.mayHaveRunOn
 	}
-	i := slices.IndexFunc(d.groups, func(g *group) bool { return g.groupKey == like })
+	i := slices.IndexFunc(d.groups, func(g *group) bool { return g.groupKey == key })
 	if i < 0 {
 		i = len(d.groups)
-		d.groups = append(d.groups, &group{groupKey: like})
+		d.groups = append(d.groups, &group{groupKey: key})
 	}
 	m.group = d.groups[i]
 	m.group.root = insertMessage(m.group.root, m)
 	d.firstDue = min(d.firstDue, s.answerDeadline(m))
 }
 
-// unfile takes a message out of its group.
+// dequeue removes a message from its group.
 func (s *Sender) dequeue(m *message) {
 	g := m.group
 	m.group = nil
@@ -165,7 +170,7 @@
 	}
 }
 
-// ranAt notes an attempt that may have run.
+// setMayHaveRun records that an attempt for a message may have run, at ep or, if ep is nil, at an unlisted endpoint.
 func (s *Sender) setMayHaveRun(m *message, ep *endpointState, at time.Duration) {
 	s.releaseMayHaveRun(m)
 	if m.mayHaveRunSince, m.mayHaveRunOn = at, ep; ep != nil {
@@ -173,7 +178,7 @@
 	}
 }
 
-// unran lets go of the endpoint where a message may have run.
+// releaseMayHaveRun stops counting a message for the endpoint where it may have run.
 func (s *Sender) releaseMayHaveRun(m *message) {
 	if ep := m.mayHaveRunOn; ep != nil {
 		if s.mayHaveRunCounts[ep]--; s.mayHaveRunCounts[ep] == 0 {
@@ -182,7 +187,7 @@
 	}
 }
 
-// resume files anew what is paused no more.
+// enqueueResumed makes messages ready whose pause is over.
 func (s *Sender) enqueueResumed() {
 	for s.pauseTimers.earliest() <= s.now {
 		if m := s.pauseTimers.pop(); m.group != nil && !m.group.ready {
@@ -191,8 +196,8 @@
 	}
 }
 
-// fallen is what has come due, or to the end of its key's window, in the order of destinations and of arrival. Some of it may
-// be over, or wait for an outcome first.
+// popDue returns the messages whose answer deadline or deduplication window has ended, ordered by destination, then
+// arrival. Some may be finished already, or have attempts in flight whose outcomes have to come first.
 func (s *Sender) popDue() (list []*message) {
 	for s.deadlineTimers.earliest() <= s.now {
 		list = append(list, s.deadlineTimers.pop())
@@ -208,17 +213,18 @@
 	return cmp.Or(compareDestinations(a.destination, b.destination), a.seq-b.seq)
 }
 
-// dueBefore is what waits for a destination and is due before a time told for each group by one of it, in the order of arrival.
+// dueBefore returns the waiting messages of a destination whose answer deadline is before a limit, in order of arrival.
+// The limit is computed once for each group, from one of its messages. firstDue is recomputed from the other messages.
 func (s *Sender) dueBefore(d *destinationState, limit func(*message) time.Duration) (list []*message) {
 	d.firstDue = never
 	for _, g := range d.groups {
-		before := limit(g.root)
+		end := limit(g.root)
 		var walk func(*message)
 		walk = func(m *message) {
 			if m == nil {
 				return
 			}
-			if walk(m.left); s.answerDeadline(m) >= before {
+			if walk(m.left); s.answerDeadline(m) >= end {
 				d.firstDue = min(d.firstDue, s.answerDeadline(m))
 				return
 			}
@@ -231,10 +237,11 @@
 	return list
 }
 
-// alarms order messages by a time of each, the earliest first. What has ended is dropped when it comes up.
+// timerHeap is a heap of timers, the earliest first. Timers of messages that are done stay in it until they expire or
+// a cleanup removes them.
 type timerHeap struct {
 	timers           []messageTimer
-	maxBeforeCleanup int // as many as there may be before what has ended is dropped
+	maxBeforeCleanup int // number of timers above which a cleanup may be due
 }
 
 type messageTimer struct {
@@ -242,10 +249,11 @@
 	message *message
 }
 
-// alarm adds one, and drops what has ended each time their number has doubled, so that they stay bounded.
+// addTimer adds a timer. So that the heap stays bounded, it first removes timers of messages that are done, each time
+// the number of timers has doubled.
 func (s *Sender) addTimer(h *timerHeap, m *message, at time.Duration) {
 	if len(h.timers) > max(h.maxBeforeCleanup, 2*len(s.held)+64) {
-		h.timers = slices.DeleteFunc(h.timers, func(a messageTimer) bool { return a.message.done() })
+		h.timers = slices.DeleteFunc(h.timers, func(t messageTimer) bool { return t.message.done() })
 		for i := len(h.timers)/2 - 1; i >= 0; i-- {
 			siftDown(h.timers, i, messageTimer.earlier)
 		}
@@ -254,9 +262,9 @@
 	h.timers = heapPush(h.timers, messageTimer{at, m}, messageTimer.earlier)
 }
 
-func (a messageTimer) earlier(b messageTimer) bool { return a.at < b.at }
+func (t messageTimer) earlier(u messageTimer) bool { return t.at < u.at }
 
-// next is when the first is, never if there is none.
+// earliest returns the time of the first timer, never if there is none.
 func (h *timerHeap) earliest() time.Duration {
 	if len(h.timers) == 0 {
 		return never
@@ -264,84 +272,87 @@
 	return h.timers[0].at
 }
 
+// pop removes the first timer and returns its message.
 func (h *timerHeap) pop() (m *message) {
-	var a messageTimer
-	a, h.timers = heapPop(h.timers, messageTimer.earlier)
-	return a.message
+	var t messageTimer
+	t, h.timers = heapPop(h.timers, messageTimer.earlier)
+	return t.message
 }
 
-// push adds to a heap that is ordered by less.
+// heapPush adds an element to a heap that is ordered by less.
 func heapPush[T any](h []T, x T, less func(T, T) bool) []T {
 	h = append(h, x)
 	for i := len(h) - 1; i > 0; {
-		above := (i - 1) / 2
-		if !less(h[i], h[above]) {
+		parent := (i - 1) / 2
+		if !less(h[i], h[parent]) {
 			break
 		}
-		h[i], h[above] = h[above], h[i]
-		i = above
+		h[i], h[parent] = h[parent], h[i]
+		i = parent
 	}
 	return h
 }
 
-// pull takes the first from a heap.
+// heapPop removes the first element of a heap. It clears the vacated place, so that nothing refers to the element.
 func heapPop[T any](h []T, less func(T, T) bool) (T, []T) {
-	var none T
+	var zero T
 	x, last := h[0], len(h)-1
-	h[0], h[last] = h[last], none
+	h[0], h[last] = h[last], zero
 	siftDown(h[:last], 0, less)
 	return x, h[:last]
 }
 
+// siftDown restores the order of a heap after its element i was replaced by a later one.
 func siftDown[T any](h []T, i int, less func(T, T) bool) {
 	for {
-		next := i
-		for below := 2*i + 1; below <= 2*i+2 && below < len(h); below++ {
-			if less(h[below], h[next]) {
-				next = below
+		first := i
+		for child := 2*i + 1; child <= 2*i+2 && child < len(h); child++ {
+			if less(h[child], h[first]) {
+				first = child
 			}
 		}
-		if next == i {
+		if first == i {
 			return
 		}
-		h[i], h[next] = h[next], h[i]
-		i = next
+		h[i], h[first] = h[first], h[i]
+		i = first
 	}
 }
 
-// ranked is a message and what it counts for.
+// rankedMessage is a message with the value that it is ranked by.
 type rankedMessage struct {
 	message *message
 	value   float64
 }
 
-// ranking finds the n messages that count most, exactly as a stable sort of all would: of equals those that came first, or last.
-// It looks at a tree's parts in the order of the most that each may hold, and ends when that is less than what it has.
+// ranking finds the messages with the highest values, with the same result as a stable sort of all messages. It is a
+// best-first search: it visits subtrees by the upper bounds of their values and ends when the best of the rest cannot
+// contribute any more.
 type ranking struct {
-	limit       int
-	newestFirst bool                // of equals the newest, else the oldest
-	eligible    func(*message) bool // what may be chosen at all; nil for all
-	best        []rankedMessage     // so far, the best first
-	subtrees    *[]subtree          // heap of what was not looked at; the sender's, so that it is made once
+	limit       int                 // number of messages to find
+	newestFirst bool                // of messages with equal values the newest comes first, else the oldest
+	eligible    func(*message) bool // which messages may be chosen; nil for all
+	best        []rankedMessage     // found so far, the best first
+	subtrees    *[]subtree          // heap of the subtrees to visit; reused, so that it is allocated once
 }
 
-// part is a tree, and the messages next to it on either side, nil where there is none.
+// subtree is a subtree of a group, with the messages next to it on either side in the order of the tree.
 type subtree struct {
 	root                   *message
-	lower, upper           *message
-	lowerValue, upperValue float64 // their values
-	maxValue               float64 // of any in the tree
+	lower, upper           *message // nil where there is none
+	lowerValue, upperValue float64  // their values
+	maxValue               float64  // upper bound of the values in the subtree
 }
 
-// ahead tells whether a value at an arrival comes before another.
-func (r *ranking) ahead(v float64, seq int, than float64, thanSeq int) bool {
-	if v != than {
-		return v > than
+// ahead reports whether a message with value v comes before another one, by value, then by arrival.
+func (r *ranking) ahead(v float64, seq int, otherValue float64, otherSeq int) bool {
+	if v != otherValue {
+		return v > otherValue
 	}
-	return seq != thanSeq && (seq < thanSeq) != r.newestFirst
+	return seq != otherSeq && (seq < otherSeq) != r.newestFirst
 }
 
-// next is the arrival in a tree that comes first among equals.
+// firstSeq returns which arrival in a subtree would come first if all values were equal.
 func (r *ranking) firstSeq(t *message) int {
 	if r.newestFirst {
 		return t.newestSeq
@@ -349,52 +360,59 @@
 	return t.oldestSeq
 }
 
+// subtreeBefore orders the heap of subtrees.
 func (r *ranking) subtreeBefore(a, b subtree) bool {
 	return r.ahead(a.maxValue, r.firstSeq(a.root), b.maxValue, r.firstSeq(b.root))
 }
 
-// hopeless tells whether nothing in a part can be among the best.
-func (r *ranking) cannotContribute(p subtree) bool {
+// cannotContribute reports whether no message of a subtree can be among the best.
+func (r *ranking) cannotContribute(t subtree) bool {
 	if len(r.best) < r.limit {
 		return false
 	}
 	worst := r.best[r.limit-1]
-	return !r.ahead(p.maxValue, r.firstSeq(p.root), worst.value, worst.message.seq)
+	return !r.ahead(t.maxValue, r.firstSeq(t.root), worst.value, worst.message.seq)
 }
 
-// add ranks the messages of a group. The value must rise or fall evenly, or stay, between deadlines at which it changes its
-// course: a part without such a break holds no more than its edges, but for rounding, up to slack.
-func (r *ranking) add(g *group, value func(*message) float64, slack float64, breaks []time.Duration) {
-	parts := append((*r.subtrees)[:0], subtree{root: g.root, maxValue: math.Inf(1)})
-	for len(parts) > 0 {
-		var p subtree
-		if p, parts = heapPop(parts, r.subtreeBefore); r.cannotContribute(p) {
+// add ranks the messages of a group. As a function of the deadline, value must be monotonic between the given
+// breakpoints. Then no value in a subtree without a breakpoint exceeds the values at its edges, except for rounding
+// errors of up to roundingError.
+func (r *ranking) add(g *group, value func(*message) float64, roundingError float64, breakpoints []time.Duration) {
+	open := append((*r.subtrees)[:0], subtree{root: g.root, maxValue: math.Inf(1)})
+	for len(open) > 0 {
+		var t subtree
+		if t, open = heapPop(open, r.subtreeBefore); r.cannotContribute(t) {
 			break
 		}
-		m := p.root
+		m := t.root
 		v := value(m)
 		if r.eligible == nil || r.eligible(m) {
 			r.offer(m, v)
 		}
-		for _, sub := range [...]subtree{{root: m.left, lower: p.lower, upper: m, lowerValue: p.lowerValue, upperValue: v}, {root: m.right, lower: m, upper: p.upper, lowerValue: v, upperValue: p.upperValue}} {
+		for _, sub := range [...]subtree{
+			{root: m.left, lower: t.lower, upper: m, lowerValue: t.lowerValue, upperValue: v},
+			{root: m.right, lower: m, upper: t.upper, lowerValue: v, upperValue: t.upperValue},
+		} {
 			if sub.root == nil {
 				continue
 			}
-			if sub.maxValue = math.Inf(1); sub.lower != nil && sub.upper != nil && !sub.containsBreakpoint(breaks) {
-				if sub.maxValue = max(sub.lowerValue, sub.upperValue); sub.lowerValue != sub.upperValue {
-					sub.maxValue += slack
+			sub.maxValue = math.Inf(1)
+			if sub.lower != nil && sub.upper != nil && !sub.containsBreakpoint(breakpoints) {
+				sub.maxValue = max(sub.lowerValue, sub.upperValue)
+				if sub.lowerValue != sub.upperValue {
+					sub.maxValue += roundingError
 				}
 			}
 			if !r.cannotContribute(sub) {
-				parts = heapPush(parts, sub, r.subtreeBefore)
+				open = heapPush(open, sub, r.subtreeBefore)
 			}
 		}
 	}
-	clear(parts) // it refers to messages
-	*r.subtrees = parts
+	clear(open) // so that it does not keep messages from being freed
+	*r.subtrees = open
 }
 
-// first is the one that counts most, nil if there is none.
+// first returns the message with the highest value, nil if there is none.
 func (r *ranking) first() *message {
 	if len(r.best) == 0 {
 		return nil
@@ -402,17 +420,17 @@
 	return r.best[0].message
 }
 
-// broken tells whether the value may change its course within a part.
-func (p *subtree) containsBreakpoint(breaks []time.Duration) bool {
-	for _, b := range breaks {
-		if p.lower.deadline < b && b <= p.upper.deadline {
+// containsBreakpoint reports whether there is a breakpoint within a subtree, where the value need not be monotonic.
+func (t *subtree) containsBreakpoint(breakpoints []time.Duration) bool {
+	for _, b := range breakpoints {
+		if t.lower.deadline < b && b <= t.upper.deadline {
 			return true
 		}
 	}
 	return false
 }
 
-// offer takes a message in if it is among the best.
+// offer adds a message to the best if it belongs there.
 func (r *ranking) offer(m *message, v float64) {
 	i := len(r.best)
 	for i > 0 && r.ahead(v, m.seq, r.best[i-1].value, r.best[i-1].message.seq) {
@@ -427,7 +445,8 @@
 	r.best = slices.Insert(r.best, i, rankedMessage{m, v})
 }
 
-// mix spreads a number over 64 bits (the finalizer of splitmix64), so that trees are as level as with chance.
+// mixBits spreads a number over 64 bits with the finalizer of splitmix64, so that trees are balanced as with random
+// priorities.
 func mixBits(n int) uint64 {
 	x := uint64(n) * 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
