--- a/rules/state.go
+++ b/rules/state.go
@@ -31,7 +31,7 @@
 type limitScope struct {
 	controller          rateController
 	inFlight            int           // calls
-	consecutiveRefusals int           // each of a call sent after the refusal before
+	consecutiveRefusals int           // refusals since the last answer
 	firstRefusedAt      time.Duration // send time of the first of them
 	reportedLimit       float64       // calls a second over all senders, as the destination reported it; 0 if it did not
 	lastAnsweredAt      time.Duration // 0 for no answer yet
@@ -68,8 +68,8 @@
 	class               int
 	next                *classHealth  // next class of the same endpoint
 	consecutiveFailures int           // calls failed or overdue since the last answer
-	openUntil           time.Duration // the circuit breaker of the class is open until then
-	hints               decayingRate  // hints from other senders
+	openUntil           time.Duration // circuit breaker: until then calls go to other endpoints, if one takes the class
+	hints               decayingRate  // hints about it, those of this sender included
 }
 
 // endpointState is what this sender knows of one endpoint.
@@ -90,7 +90,7 @@
 	classes *classHealth // linked list of the classes accessed so far
 
 	health               health
-	symptom              Outcome       // the failure that put it on probation
+	symptom              Outcome       // the failure by which the latest outage was detected
 	healthSince          time.Duration // start of the current health; may lie in the future
 	consecutiveFailures  int
 	failingSince         time.Duration // start of these failures, or of the latest outage
@@ -99,7 +99,7 @@
 	lastAnsweredSentAt   time.Duration // send time of the latest call known to be answered
 	deliveredRate        decayingRate
 	preOutageRate        float64       // calls a second delivered before the outage
-	lastCharged          time.Duration // time of the last call, for the slow start budget
+	lastCharged          time.Duration // time of the last call, as the slow start budget counts it
 	warmUpCredit         time.Duration // on slow start: time that counts as warm-up at least
 	probeInterval        time.Duration // on probation: from lastCharged to the next probe, as computed at lastCharged
 	connectionsRenewedAt time.Duration // when its connections were last renewed as it did not answer
