--- a/cmd/eiderlab/look.go
+++ b/cmd/eiderlab/look.go
@@ -138,7 +138,7 @@
 			if err != nil {
 				return err
 			}
-			text, err := s.Text()
+			text, err := s.Encode()
 			if err != nil {
 				return err
 			}
@@ -166,7 +166,7 @@
 					continue
 				}
 				fmt.Printf("%s: good: %s, %d senders, %d destinations, %g messages a second, %d troubles\n", f, s.Name, s.Senders.Count,
-					s.Destinations(), s.Traffic.Rate, len(s.Troubles))
+					s.DestinationCount(), s.Traffic.Rate, len(s.Troubles))
 			}
 			if bad > 0 {
 				return fmt.Errorf("%d of %d files are refused", bad, len(args))
@@ -186,7 +186,7 @@
 			if err != nil {
 				return err
 			}
-			text, err := s.Text()
+			text, err := s.Encode()
 			if err == nil {
 				_, err = os.Stdout.Write(text)
 			}
@@ -211,7 +211,7 @@
 	}
 	write(scenario.Keys())
 	b.WriteString("\n## Distributions\n\nKeys of a distribution, as in `service = { dist = \"lognormal\", mean = \"150ms\", cv = 0.5 }`:\n\n")
-	write(scenario.TimesKeys())
+	write(scenario.DistributionKeys())
 	b.WriteString("\n## Troubles\n\n")
 	t := chart.Table{Head: []string{"kind", "what it does"}}
 	for _, k := range scenario.TroubleKinds() {
@@ -238,7 +238,7 @@
 		Use: "policies", Short: "List the policies that can be played", Args: exactly(0),
 		RunE: func(*cobra.Command, []string) error {
 			for _, p := range world.Policies() {
-				fmt.Printf("%-10s %s\n", p, world.AboutPolicy(p))
+				fmt.Printf("%-10s %s\n", p, world.DescribePolicy(p))
 			}
 			return nil
 		},
--- a/cmd/eiderlab/play.go
+++ b/cmd/eiderlab/play.go
@@ -127,14 +127,14 @@
 					return err
 				}
 				took := time.Since(began)
-				fmt.Fprintf(os.Stderr, "%s: %.0f s of model time in %.2f s (%.0f times as fast), %d events, %.0f a second\n", p, r.ModelS,
-					took.Seconds(), r.ModelS/took.Seconds(), r.Events, float64(r.Events)/took.Seconds())
+				fmt.Fprintf(os.Stderr, "%s: %.0f s of model time in %.2f s (%.0f times as fast), %d events, %.0f a second\n", p, r.ModelSeconds,
+					took.Seconds(), r.ModelSeconds/took.Seconds(), r.Events, float64(r.Events)/took.Seconds())
 				results = append(results, r)
 			}
 			printTable(experiment.RunTable(results))
 			printTroubles(results)
 			if out != "" {
-				text, err := s.Text()
+				text, err := s.Encode()
 				if err != nil {
 					return err
 				}
@@ -176,14 +176,14 @@
 		if len(r.Margins) > 0 {
 			fmt.Printf("%s: %v\n", r.Policy, margin.Summarize(slices.Clone(r.Margins)))
 		}
-		for name, n := range r.Faults {
+		for name, n := range r.InvalidActions {
 			fmt.Printf("%s: %d times: %s\n", r.Policy, n, name)
 		}
-		if r.Broken == 0 {
+		if r.ViolationCount == 0 {
 			continue
 		}
-		fmt.Printf("%s broke rules %d times: %v\n", r.Policy, r.Broken, r.ByRule)
-		for _, b := range r.Breaks[:min(3, len(r.Breaks))] {
+		fmt.Printf("%s broke rules %d times: %v\n", r.Policy, r.ViolationCount, r.ByRule)
+		for _, b := range r.Violations[:min(3, len(r.Violations))] {
 			fmt.Printf("  %v\n", b)
 			for _, line := range b.Trail {
 				fmt.Printf("      %s\n", line)
@@ -200,8 +200,8 @@
 		if r.Stopped != "" {
 			return errors.New(r.Stopped)
 		}
-		if strict && r.Broken > 0 {
-			return fmt.Errorf("%s broke rules %d times", r.Policy, r.Broken)
+		if strict && r.ViolationCount > 0 {
+			return fmt.Errorf("%s broke rules %d times", r.Policy, r.ViolationCount)
 		}
 	}
 	return nil
@@ -328,7 +328,7 @@
 		name := fmt.Sprintf("%s-%d.toml", f.Scenario.Name, f.Seed)
 		s := *f.Scenario
 		s.About = fmt.Sprintf("found by a hunt, play it with --seed %d: %s", f.Seed, f.Why())
-		text, err := s.Text()
+		text, err := s.Encode()
 		if err != nil {
 			return err
 		}
@@ -381,7 +381,7 @@
 			if err != nil {
 				return err
 			}
-			fmt.Printf("%d lines; G %.3f, %d of %d served, rules broken %d times\n", lines, r.G, r.Served, r.Asked, r.Broken)
+			fmt.Printf("%d lines; G %.3f, %d of %d served, rules broken %d times\n", lines, r.G, r.Served, r.Submitted, r.ViolationCount)
 			printTroubles([]*tally.Result{r})
 			return verdict(c.Context(), []*tally.Result{r}, false)
 		},
--- a/cmd/eiderlab/sockets.go
+++ b/cmd/eiderlab/sockets.go
@@ -45,7 +45,7 @@
 			if err != nil {
 				return err
 			}
-			fmt.Printf("discovery on %s, %d endpoints of %d destinations\n", v.Discovery(), v.Endpoints(), s.Destinations())
+			fmt.Printf("discovery on %s, %d endpoints of %d destinations\n", v.Discovery(), v.Endpoints(), s.DestinationCount())
 			if skipped := live.Skipped(s); len(skipped) > 0 {
 				fmt.Println("not played here:", strings.Join(skipped, ", "))
 			}
--- a/internal/capacity/sparse_test.go
+++ b/internal/capacity/sparse_test.go
@@ -108,7 +108,7 @@
 	calls := float64(counts.calls.Load())
 	return fmt.Sprintf("calls %.0f (%.3f a message), first %.3f, first within 15 s %.3f, handshakes %.3f, lost %.4f, "+
 		"served %.4f, outages %d, fallen %d, rules broken %d",
-		calls, calls/float64(r.Asked), float64(counts.firstCalls.Load())/calls, float64(counts.withoutRecentCall.Load())/calls,
-		float64(r.Opened)/float64(r.Calls), float64(counts.lostCalls.Load())/calls, float64(r.Served)/float64(r.Asked),
-		r.Outages, r.Fallen, r.Broken)
+		calls, calls/float64(r.Submitted), float64(counts.firstCalls.Load())/calls, float64(counts.withoutRecentCall.Load())/calls,
+		float64(r.ConnectionsOpened)/float64(r.Calls), float64(counts.lostCalls.Load())/calls, float64(r.Served)/float64(r.Submitted),
+		r.Outages, r.UnitsOverloaded, r.ViolationCount)
 }
--- a/lab/baseline/oracle.go
+++ b/lab/baseline/oracle.go
@@ -14,23 +14,23 @@
 )
 
 // Truth is what the oracle sees; one value is shared by all senders of a run, which therefore must not decide at once.
-type Truth struct {
-	Endpoints map[rules.EndpointID]*receiver.Endpoint
-	Way       time.Duration // a call may be on the way for so long
-	onWay     map[*receiver.Unit][]time.Duration
-	out       map[*receiver.Endpoint]int
+type OracleView struct {
+	Endpoints   map[rules.EndpointID]*receiver.Endpoint
+	TransitTime time.Duration // a call may be on the way for so long
+	onWay       map[*receiver.Unit][]time.Duration
+	out         map[*receiver.Endpoint]int
 }
 
 // NewTruth returns the shared view of a run.
-func NewTruth(endpoints map[rules.EndpointID]*receiver.Endpoint, way time.Duration) *Truth {
-	return &Truth{Endpoints: endpoints, Way: way, onWay: map[*receiver.Unit][]time.Duration{}, out: map[*receiver.Endpoint]int{}}
+func NewOracleView(endpoints map[rules.EndpointID]*receiver.Endpoint, way time.Duration) *OracleView {
+	return &OracleView{Endpoints: endpoints, TransitTime: way, onWay: map[*receiver.Unit][]time.Duration{}, out: map[*receiver.Endpoint]int{}}
 }
 
 // Oracle returns the policy that sees the truth.
-func Oracle(set rules.Settings, t *Truth) *frame { return newFrame(set, &oracle{Truth: t}) }
+func Oracle(set rules.Settings, t *OracleView) *frame { return newFrame(set, &oracle{OracleView: t}) }
 
 type oracle struct {
-	*Truth
+	*OracleView
 	waiting map[*dest]int // messages of a destination, in this step
 	cancels []rules.Cancel
 }
@@ -46,23 +46,23 @@
 
 func (o *oracle) may(f *frame, m *msg, ep *endpoint) bool {
 	x := o.Endpoints[ep.id]
-	if x == nil || !x.Free() || float64(o.out[x]) >= ahead*float64(x.Unit.Spec.Servers)+1 {
+	if x == nil || !x.HasCapacity() || float64(o.out[x]) >= ahead*float64(x.Unit.Spec.Servers)+1 {
 		return false
 	}
-	if x.Slow > muchSlower && 2*f.busy > f.set.Slots {
+	if x.Slowdown > muchSlower && 2*f.busy > f.set.Slots {
 		return false // each of its calls would hold a slot that serves several elsewhere
 	}
 	way := o.onWay[x.Unit]
-	for len(way) > 0 && way[0] < f.now-o.Way {
+	for len(way) > 0 && way[0] < f.now-o.TransitTime {
 		way = way[1:]
 	}
 	o.onWay[x.Unit] = way
 	n := float64(len(way) + 1)
-	if ep.batch > 1 && o.waiting[m.dest] < ep.batch && x.Unit.Room(f.now) < n+1 &&
+	if ep.batch > 1 && o.waiting[m.dest] < ep.batch && x.Unit.RemainingLimit(f.now) < n+1 &&
 		f.now-(m.deadline-m.class.Deadline) < m.class.Aim/company {
 		return false // the last free call is better full
 	}
-	return x.Unit.Room(f.now) >= n && x.Unit.ColdRoom(f.now) >= n
+	return x.Unit.RemainingLimit(f.now) >= n && x.Unit.RemainingColdBudget(f.now) >= n
 }
 
 func (o *oracle) sent(f *frame, ep *endpoint) {
@@ -112,7 +112,7 @@
 	if x == nil {
 		return 0
 	}
-	return (1 + float64(o.out[x])/float64(x.Unit.Spec.Servers)) * x.Slow
+	return (1 + float64(o.out[x])/float64(x.Unit.Spec.Servers)) * x.Slowdown
 }
 
 // giveUp calls off what is out at endpoints that are seen to answer nothing.
@@ -124,7 +124,7 @@
 		if m.out == 0 || m.gaveUp == m.tries {
 			continue
 		}
-		if x := o.Endpoints[m.at.id]; x != nil && (x.Dark > 0 || x.Hung > 0) {
+		if x := o.Endpoints[m.at.id]; x != nil && (x.Unresponsive > 0 || x.Hanging > 0) {
 			m.gaveUp = m.tries
 			o.cancels = append(o.cancels, rules.Cancel{ID: m.id, Attempt: m.tries - 1})
 		}
--- a/lab/clock/clock.go
+++ b/lab/clock/clock.go
@@ -21,7 +21,7 @@
 	Registry              // the list changes or is told
 	Receive               // a call arrives or is served
 	Answer                // an outcome arrives at a sender
-	Hand                  // a client hands in a message
+	Submit                // a client hands in a message
 	Timer                 // time-outs and wake-ups
 	Step                  // senders decide
 	Check                 // the judge and the tally look
@@ -70,7 +70,7 @@
 func (q *Queue) Pending() int { return len(q.heap) }
 
 // Line is one actor's way to schedule in one phase. Its count makes each of its events unique.
-type Line struct {
+type Scheduler struct {
 	q     *Queue
 	phase Phase
 	actor int32
@@ -78,13 +78,13 @@
 }
 
 // Line returns a line for an actor. Two lines of one phase must have different actors.
-func (q *Queue) Line(phase Phase, actor int) *Line {
-	return &Line{q: q, phase: phase, actor: int32(actor)}
+func (q *Queue) NewScheduler(phase Phase, actor int) *Scheduler {
+	return &Scheduler{q: q, phase: phase, actor: int32(actor)}
 }
 
 // At schedules f. An instant that has passed counts as the present one, and is counted by Late: it guards against a
 // model that would turn time back.
-func (l *Line) At(at time.Duration, f func()) {
+func (l *Scheduler) At(at time.Duration, f func()) {
 	if at < l.q.now {
 		at = l.q.now
 		l.q.late++
@@ -94,15 +94,15 @@
 }
 
 // After schedules f a while from now.
-func (l *Line) After(d time.Duration, f func()) { l.At(l.q.now+max(d, 0), f) }
+func (l *Scheduler) After(d time.Duration, f func()) { l.At(l.q.now+max(d, 0), f) }
 
 // ErrTooMany tells that a run was ended by its bound of events.
-type ErrTooMany struct {
+type EventLimitError struct {
 	Events uint64
 	At     time.Duration
 }
 
-func (e *ErrTooMany) Error() string {
+func (e *EventLimitError) Error() string {
 	return fmt.Sprintf("stopped at the bound of %d events, at %v of model time: raise run.max_events, or look for a "+
 		"policy that asks for wake-ups without end", e.Events, e.At.Round(time.Millisecond))
 }
@@ -111,7 +111,7 @@
 func (q *Queue) Run(until time.Duration, bound uint64) error {
 	for len(q.heap) > 0 && q.heap[0].at <= until {
 		if q.fired >= bound {
-			return &ErrTooMany{Events: q.fired, At: q.now}
+			return &EventLimitError{Events: q.fired, At: q.now}
 		}
 		e := q.pop()
 		q.now = e.at
@@ -123,7 +123,7 @@
 }
 
 // Next is the instant of the next event, false if none waits.
-func (q *Queue) Next() (time.Duration, bool) {
+func (q *Queue) NextAt() (time.Duration, bool) {
 	if len(q.heap) == 0 {
 		return 0, false
 	}
--- a/lab/clock/clock_test.go
+++ b/lab/clock/clock_test.go
@@ -24,12 +24,12 @@
 		}), 0, 60).Draw(t, "plan")
 		play := func(order []planned) []string {
 			var q Queue
-			lines, seen := map[[2]int]*Line{}, map[[2]int]int{}
+			lines, seen := map[[2]int]*Scheduler{}, map[[2]int]int{}
 			var log []string
 			for _, p := range order {
 				key := [2]int{p.actor, int(p.phase)}
 				if lines[key] == nil {
-					lines[key] = q.Line(p.phase, p.actor)
+					lines[key] = q.NewScheduler(p.phase, p.actor)
 				}
 				seen[key]++
 				n := seen[key]
@@ -60,7 +60,7 @@
 
 func TestThePastCountsAsNow(t *testing.T) {
 	var q Queue
-	line := q.Line(Timer, 0)
+	line := q.NewScheduler(Timer, 0)
 	var at time.Duration
 	line.At(5, func() { line.At(3, func() { at = q.Now() }) })
 	if err := q.Run(10, 10); err != nil || at != 5 || q.Late() != 1 || q.Now() != 10 {
@@ -70,11 +70,11 @@
 
 func TestARunStopsAtItsBound(t *testing.T) {
 	var q Queue
-	line := q.Line(Timer, 0)
+	line := q.NewScheduler(Timer, 0)
 	var again func()
 	again = func() { line.After(0, again) }
 	again()
-	var many *ErrTooMany
+	var many *EventLimitError
 	if err := q.Run(time.Second, 100); !errors.As(err, &many) || many.Events != 100 {
 		t.Errorf("got %v, want the bound of 100 events", err)
 	}
@@ -82,7 +82,7 @@
 
 func BenchmarkQueue(b *testing.B) {
 	var q Queue
-	line := q.Line(Timer, 0)
+	line := q.NewScheduler(Timer, 0)
 	for i := range 100_000 {
 		var again func()
 		again = func() { line.After(time.Duration(i%977)+1, again) }
--- a/lab/experiment/folder.go
+++ b/lab/experiment/folder.go
@@ -70,7 +70,7 @@
 // Create makes a folder for a plan. One that is there already is refused, unless resume is set and it holds the same plan
 // played by the same build.
 func Create(path string, p *Plan, resume bool) (*Folder, error) {
-	text, err := p.Scenario.Text()
+	text, err := p.Scenario.Encode()
 	if err != nil {
 		return nil, err
 	}
@@ -144,7 +144,7 @@
 // Add keeps a finished run. The series over time stay out: a grid would drown in them, and replay brings any back.
 func (f *Folder) Add(p Point, r *tally.Result) error {
 	row := Row{Point: p, Result: *r}
-	row.Result.Series, row.Result.Lanes, row.Result.Log = nil, nil, nil
+	row.Result.Series, row.Result.BusiestDestinations, row.Result.Log = nil, nil, nil
 	line, err := json.Marshal(row)
 	if err != nil {
 		return err
@@ -193,25 +193,25 @@
 	{"whole", func(r *tally.Result) float64 { return r.Whole }},
 	{"worst", func(r *tally.Result) float64 { return r.Worst }},
 	{"worst_class", func(r *tally.Result) float64 { return r.WorstClass }},
-	{"asked", func(r *tally.Result) float64 { return float64(r.Asked) }},
+	{"asked", func(r *tally.Result) float64 { return float64(r.Submitted) }},
 	{"served", func(r *tally.Result) float64 { return float64(r.Served) }},
 	{"in_aim", func(r *tally.Result) float64 { return float64(r.InAim) }},
 	{"refused", func(r *tally.Result) float64 { return float64(r.Refused) }},
 	{"failed", func(r *tally.Result) float64 { return float64(r.Failed) }},
-	{"turned_away", func(r *tally.Result) float64 { return float64(r.Turned) }},
+	{"turned_away", func(r *tally.Result) float64 { return float64(r.TurnedAway) }},
 	{"calls", func(r *tally.Result) float64 { return float64(r.Calls) }},
 	{"attempts", func(r *tally.Result) float64 { return float64(r.Attempts) }},
-	{"connections_opened", func(r *tally.Result) float64 { return float64(r.Opened) }},
-	{"calls_limited", func(r *tally.Result) float64 { return float64(r.Limited) }},
-	{"calls_full", func(r *tally.Result) float64 { return float64(r.Full) }},
+	{"connections_opened", func(r *tally.Result) float64 { return float64(r.ConnectionsOpened) }},
+	{"calls_limited", func(r *tally.Result) float64 { return float64(r.RefusedByLimit) }},
+	{"calls_full", func(r *tally.Result) float64 { return float64(r.RefusedOtherwise) }},
 	{"timed_out", func(r *tally.Result) float64 { return float64(r.TimedOut) }},
 	{"mean_ms", func(r *tally.Result) float64 { return r.Mean }},
 	{"p50_ms", func(r *tally.Result) float64 { return r.P50 }},
 	{"p99_ms", func(r *tally.Result) float64 { return r.P99 }},
 	{"recovery_s", recoveryOf},
 	{"outages", func(r *tally.Result) float64 { return float64(r.Outages) }},
-	{"units_fallen", func(r *tally.Result) float64 { return float64(r.Fallen) }},
-	{"rules_broken", func(r *tally.Result) float64 { return float64(r.Broken) }},
+	{"units_fallen", func(r *tally.Result) float64 { return float64(r.UnitsOverloaded) }},
+	{"rules_broken", func(r *tally.Result) float64 { return float64(r.ViolationCount) }},
 	{"events", func(r *tally.Result) float64 { return float64(r.Events) }},
 }
 
--- a/lab/experiment/hunt.go
+++ b/lab/experiment/hunt.go
@@ -31,7 +31,7 @@
 
 // Why says in a few words what is wrong with the day.
 func (f Found) Why() string {
-	if f.Module.Broken > 0 {
+	if f.Module.ViolationCount > 0 {
 		var names []string
 		for name := range f.Module.ByRule {
 			names = append(names, name)
@@ -136,8 +136,8 @@
 		return nil, err
 	}
 	f := &Found{Scenario: s, Seed: seed, Module: module, Ideal: ideal, Loss: ideal.G - module.G}
-	if module.Broken > 0 {
-		f.Loss = 1 + float64(min(module.Broken, 100))/100
+	if module.ViolationCount > 0 {
+		f.Loss = 1 + float64(min(module.ViolationCount, 100))/100
 	}
 	return f, nil
 }
--- a/lab/experiment/plan.go
+++ b/lab/experiment/plan.go
@@ -98,7 +98,7 @@
 		return fmt.Errorf("a plan needs a seed and a policy at least")
 	}
 	for _, name := range p.Policies {
-		if world.AboutPolicy(name) == "" {
+		if world.DescribePolicy(name) == "" {
 			return fmt.Errorf("policy %q is unknown: expected one of %v", name, world.Policies())
 		}
 	}
--- a/lab/experiment/report.go
+++ b/lab/experiment/report.go
@@ -24,14 +24,14 @@
 	zero, log  bool
 }{
 	{"G", "G, share of the worth asked for", func(r *tally.Result) float64 { return r.G }, true, false},
-	{"served", "share of first tries served", func(r *tally.Result) float64 { return per(r.Served, r.Asked) }, true, false},
-	{"served a second", "messages served a second", func(r *tally.Result) float64 { return float64(r.Served) / max(r.ModelS, 1e-9) }, true, false},
-	{"calls refused", "calls turned away for each first try", func(r *tally.Result) float64 { return per(r.Limited+r.Full, r.Asked) }, true, false},
-	{"calls", "calls for each first try", func(r *tally.Result) float64 { return per(r.Calls, r.Asked) }, true, false},
+	{"served", "share of first tries served", func(r *tally.Result) float64 { return per(r.Served, r.Submitted) }, true, false},
+	{"served a second", "messages served a second", func(r *tally.Result) float64 { return float64(r.Served) / max(r.ModelSeconds, 1e-9) }, true, false},
+	{"calls refused", "calls turned away for each first try", func(r *tally.Result) float64 { return per(r.RefusedByLimit+r.RefusedOtherwise, r.Submitted) }, true, false},
+	{"calls", "calls for each first try", func(r *tally.Result) float64 { return per(r.Calls, r.Submitted) }, true, false},
 	{"p50, ms", "median time to delivery, ms", func(r *tally.Result) float64 { return r.P50 }, false, true},
 	{"p99, ms", "99th percentile of the time to delivery, ms", func(r *tally.Result) float64 { return r.P99 }, false, true},
 	{"recovery, s", "recovery after the last outage, s", recoveryOf, true, false},
-	{"rules broken", "breaks of rules", func(r *tally.Result) float64 { return float64(r.Broken) }, true, false},
+	{"rules broken", "breaks of rules", func(r *tally.Result) float64 { return float64(r.ViolationCount) }, true, false},
 }
 
 func per(a, b int) float64 {
@@ -249,18 +249,18 @@
 	over := func(title, y string, zero, logY bool, of func(*tally.Window) float64, per bool) *chart.Chart {
 		c := &chart.Chart{Title: name + ": " + title, X: "model time, s", Y: y, Zero: zero, LogY: logY, Bands: bands}
 		for _, r := range results {
-			c.Lines = append(c.Lines, binned(r.Policy, len(r.Series), r.Step, per, func(i int) float64 { return of(&r.Series[i]) }))
+			c.Lines = append(c.Lines, binned(r.Policy, len(r.Series), r.WindowSeconds, per, func(i int) float64 { return of(&r.Series[i]) }))
 		}
 		return c
 	}
 	flow := over("throughput", "messages served a second", true, false, func(w *tally.Window) float64 { return float64(w.Served) }, true)
 	first := results[0]
-	asked := binned("handed in", len(first.Series), first.Step, true, func(i int) float64 { return float64(first.Series[i].Asked) })
+	asked := binned("handed in", len(first.Series), first.WindowSeconds, true, func(i int) float64 { return float64(first.Series[i].Submitted) })
 	asked.Dashed = true
 	flow.Lines = append(flow.Lines, asked)
 	charts := []*chart.Chart{flow,
-		over("calls turned away", "calls turned away a second", true, false, func(w *tally.Window) float64 { return float64(w.Limited + w.Full) }, true),
-		over("messages refused or failed", "messages a second", true, false, func(w *tally.Window) float64 { return float64(w.Refused + w.Failed + w.Turned) }, true),
+		over("calls turned away", "calls turned away a second", true, false, func(w *tally.Window) float64 { return float64(w.RefusedByLimit + w.RefusedOtherwise) }, true),
+		over("messages refused or failed", "messages a second", true, false, func(w *tally.Window) float64 { return float64(w.Refused + w.Failed + w.TurnedAway) }, true),
 		over("median time to delivery", "ms", false, true, func(w *tally.Window) float64 { return w.P50 }, false),
 		over("99th percentile of the time to delivery", "ms", false, true, func(w *tally.Window) float64 { return w.P99 }, false),
 	}
@@ -297,14 +297,14 @@
 // laneCharts show what the busiest destinations were sent, beside what they take: the paces as seen from outside.
 func laneCharts(r *tally.Result, bands []chart.Band) []*chart.Chart {
 	var charts []*chart.Chart
-	for _, lane := range r.Lanes[:min(3, len(r.Lanes))] {
+	for _, lane := range r.BusiestDestinations[:min(3, len(r.BusiestDestinations))] {
 		c := &chart.Chart{Title: fmt.Sprintf("%s: calls to destination %d by %s", r.Scenario, lane.Dest, r.Policy),
 			X: "model time, s", Y: "calls a second", Zero: true, Bands: bands}
 		n := len(lane.Calls)
-		best := binned("taken at its best", n, r.Step, false, func(int) float64 { return lane.Rate })
+		best := binned("taken at its best", n, r.WindowSeconds, false, func(int) float64 { return lane.Capacity })
 		best.Dashed = true
-		c.Lines = []chart.Line{binned("sent", n, r.Step, true, func(i int) float64 { return float64(lane.Calls[i]) }),
-			binned("turned away", n, r.Step, true, func(i int) float64 { return float64(lane.Refusals[i]) }), best}
+		c.Lines = []chart.Line{binned("sent", n, r.WindowSeconds, true, func(i int) float64 { return float64(lane.Calls[i]) }),
+			binned("turned away", n, r.WindowSeconds, true, func(i int) float64 { return float64(lane.Refusals[i]) }), best}
 		charts = append(charts, c)
 	}
 	return charts
--- a/lab/judge/judge.go
+++ b/lab/judge/judge.go
@@ -21,23 +21,23 @@
 
 // The rules.
 const (
-	Lost     Rule = 1 + iota // a message without its one end in time
-	Doubled                  // a repeat, or a refusal, beyond what the class allows
-	Drained                  // new work to an endpoint that drains or is gone
-	Overrun                  // a returning destination pushed over
-	Disorder                 // out of the order of its key
-	Hasty                    // sent during a told wait
+	LostMessage       Rule = 1 + iota // a message without its one end in time
+	DoubleEffect                      // a repeat, or a refusal, beyond what the class allows
+	DrainIgnored                      // new work to an endpoint that drains or is gone
+	RecoveryOverload                  // a returning destination pushed over
+	OutOfOrder                        // out of the order of its key
+	RetryAfterIgnored                 // sent during a told wait
 )
 
 // Rules lists all.
-var Rules = []Rule{Lost, Doubled, Drained, Overrun, Disorder, Hasty}
+var Rules = []Rule{LostMessage, DoubleEffect, DrainIgnored, RecoveryOverload, OutOfOrder, RetryAfterIgnored}
 
 func (r Rule) String() string {
 	return [...]string{"", "1 lost message", "2 double effect", "3 drain", "4 pushed over", "5 order", "6 wait"}[r]
 }
 
 // Break is one broken rule.
-type Break struct {
+type Violation struct {
 	Rule    Rule
 	At      time.Duration
 	Sender  int
@@ -46,7 +46,7 @@
 	Trail   []string // what led to it, oldest first
 }
 
-func (b Break) String() string {
+func (b Violation) String() string {
 	return fmt.Sprintf("%.3fs rule %v, sender %d, message %s: %s", b.At.Seconds(), b.Rule, b.Sender, cmp.Or(string(b.Message), "-"), b.Text)
 }
 
@@ -58,15 +58,15 @@
 
 // Judge watches one run.
 type Judge struct {
-	s       *scenario.Scenario
-	senders []*record
-	units   map[int]*unitRecord
-	outages []*unitRecord // all so far
-	unitOf  func(rules.EndpointID) (unit, zone int)
-	Breaks  []Break
-	Counts  map[Rule]int
-	due     map[int64][]dueItem
-	swept   int64
+	s          *scenario.Scenario
+	senders    []*record
+	units      map[int]*unitRecord
+	outages    []*unitRecord // all so far
+	unitOf     func(rules.EndpointID) (unit, zone int)
+	Violations []Violation
+	Counts     map[Rule]int
+	due        map[int64][]dueItem
+	swept      int64
 }
 
 type dueItem struct {
@@ -157,21 +157,21 @@
 
 func (j *Judge) breakRule(r Rule, at time.Duration, sender int, d *duty, trail []string, format string, args ...any) {
 	j.Counts[r]++
-	if len(j.Breaks) >= keep {
+	if len(j.Violations) >= keep {
 		return
 	}
-	b := Break{Rule: r, At: at, Sender: sender, Text: fmt.Sprintf(format, args...), Trail: trail}
+	b := Violation{Rule: r, At: at, Sender: sender, Text: fmt.Sprintf(format, args...), Trail: trail}
 	if d != nil {
 		b.Message = d.m.ID
 		for _, n := range d.trail {
 			b.Trail = append(b.Trail, n.String())
 		}
 	}
-	j.Breaks = append(j.Breaks, b)
+	j.Violations = append(j.Violations, b)
 }
 
 // Taken tells that a sender has taken a message on.
-func (j *Judge) Taken(now time.Duration, sender int, m *model.Message) {
+func (j *Judge) MessageAccepted(now time.Duration, sender int, m *model.Message) {
 	r := j.senders[sender]
 	d := &duty{m: m, class: &j.s.Classes[m.Class], trail: []note{{at: now, what: 't'}}}
 	r.taken++
@@ -185,18 +185,18 @@
 }
 
 // Called tells that a sender makes an attempt.
-func (j *Judge) Called(now time.Duration, sender int, id rules.MessageID, num int, ep rules.EndpointID) {
+func (j *Judge) AttemptStarted(now time.Duration, sender int, id rules.MessageID, num int, ep rules.EndpointID) {
 	r := j.senders[sender]
 	unit, zone := j.unitOf(ep)
 	d := r.duties[id]
 	if d == nil {
-		j.breakRule(Lost, now, sender, &duty{m: &model.Message{ID: id}}, nil, "sent to endpoint %d, though it has ended or was never taken", ep)
+		j.breakRule(LostMessage, now, sender, &duty{m: &model.Message{ID: id}}, nil, "sent to endpoint %d, though it has ended or was never taken", ep)
 		return
 	}
 	j.checkRepeat(now, sender, d, ep, zone)
 	j.checkList(now, sender, r, d, ep)
 	if w, told := r.waits[unit]; told && now > w.told && now < w.until {
-		j.breakRule(Hasty, now, sender, d, nil, "sent to endpoint %d, which asked at %.3fs for a wait until %.3fs", ep, w.told.Seconds(), w.until.Seconds())
+		j.breakRule(RetryAfterIgnored, now, sender, d, nil, "sent to endpoint %d, which asked at %.3fs for a wait until %.3fs", ep, w.told.Seconds(), w.until.Seconds())
 	}
 	j.checkOrder(now, sender, r, d)
 	d.attempts = append(d.attempts, attempt{at: now, endpoint: ep, unit: unit, zone: zone})
@@ -224,22 +224,22 @@
 		return
 	}
 	if d.class.Effect == "once" {
-		j.breakRule(Doubled, now, sender, d, nil, "sent again to endpoint %d, though an attempt of %.3fs may have run", ep, first.at.Seconds())
+		j.breakRule(DoubleEffect, now, sender, d, nil, "sent again to endpoint %d, though an attempt of %.3fs may have run", ep, first.at.Seconds())
 		return
 	}
 	if now-first.at > d.class.Window.D() {
-		j.breakRule(Doubled, now, sender, d, nil, "sent again %v after an attempt that may have run; its key is remembered for %v", now-first.at, d.class.Window.D())
+		j.breakRule(DoubleEffect, now, sender, d, nil, "sent again %v after an attempt that may have run; its key is remembered for %v", now-first.at, d.class.Window.D())
 	} else if d.class.Scope == "zone" && zone != first.zone || d.class.Scope == "endpoint" && ep != first.endpoint {
-		j.breakRule(Doubled, now, sender, d, nil, "sent again to endpoint %d, outside the %s that remembers its key", ep, d.class.Scope)
+		j.breakRule(DoubleEffect, now, sender, d, nil, "sent again to endpoint %d, outside the %s that remembers its key", ep, d.class.Scope)
 	}
 }
 
 // checkList holds rule 3.
 func (j *Judge) checkList(now time.Duration, sender int, r *record, d *duty, ep rules.EndpointID) {
 	if told, drained := r.drained[ep]; drained && now > told+j.s.Rules.DrainGrace.D() {
-		j.breakRule(Drained, now, sender, d, nil, "sent to endpoint %d %v after the sender was told that it drains or is gone", ep, now-told)
+		j.breakRule(DrainIgnored, now, sender, d, nil, "sent to endpoint %d %v after the sender was told that it drains or is gone", ep, now-told)
 	} else if !drained && !r.listed[ep] {
-		j.breakRule(Drained, now, sender, d, nil, "sent to endpoint %d, which no list has named", ep)
+		j.breakRule(DrainIgnored, now, sender, d, nil, "sent to endpoint %d, which no list has named", ep)
 	}
 }
 
@@ -256,11 +256,11 @@
 		out := slices.ContainsFunc(earlier.attempts, func(a attempt) bool { return !a.done })
 		switch {
 		case !earlier.over:
-			j.breakRule(Disorder, now, sender, d, nil, "sent while message %s of the same key, taken before it, is not over", earlier.m.ID)
+			j.breakRule(OutOfOrder, now, sender, d, nil, "sent while message %s of the same key, taken before it, is not over", earlier.m.ID)
 		case out:
-			j.breakRule(Disorder, now, sender, d, nil, "sent while an attempt of message %s of the same key is out", earlier.m.ID)
+			j.breakRule(OutOfOrder, now, sender, d, nil, "sent while an attempt of message %s of the same key is out", earlier.m.ID)
 		case now < earlier.rest:
-			j.breakRule(Disorder, now, sender, d, nil, "sent at once after an attempt of message %s that may still run", earlier.m.ID)
+			j.breakRule(OutOfOrder, now, sender, d, nil, "sent at once after an attempt of message %s that may still run", earlier.m.ID)
 		default:
 			continue
 		}
@@ -283,7 +283,7 @@
 }
 
 // Told tells that a sender has heard how an attempt ended.
-func (j *Judge) Told(now time.Duration, sender int, id rules.MessageID, num int, ep rules.EndpointID, o rules.Outcome, w time.Duration) {
+func (j *Judge) AttemptEnded(now time.Duration, sender int, id rules.MessageID, num int, ep rules.EndpointID, o rules.Outcome, w time.Duration) {
 	r := j.senders[sender]
 	unit, _ := j.unitOf(ep)
 	sent := now
@@ -314,12 +314,12 @@
 }
 
 // Ended tells that a sender ended a message, or that it was served.
-func (j *Judge) Ended(now time.Duration, sender int, id rules.MessageID, end model.End) {
+func (j *Judge) MessageEnded(now time.Duration, sender int, id rules.MessageID, end model.End) {
 	r := j.senders[sender]
 	d := r.duties[id]
 	if d == nil || d.over {
 		if at, before := r.ended[id]; before && end != model.Served && at < now {
-			j.breakRule(Lost, now, sender, &duty{m: &model.Message{ID: id}},
+			j.breakRule(LostMessage, now, sender, &duty{m: &model.Message{ID: id}},
 				[]string{fmt.Sprintf("%.3fs it ended", at.Seconds()), fmt.Sprintf("%.3fs %v", now.Seconds(), end)},
 				"%v, though it had ended at %.3fs", end, at.Seconds())
 		}
@@ -327,7 +327,7 @@
 	}
 	d.trail = append(d.trail, note{at: now, what: 'e', end: end})
 	if late := now - max(d.m.Deadline+j.s.Rules.AnswerGrace.D(), r.grace); late > 0 && end != model.Withdrawn {
-		j.breakRule(Lost, now, sender, d, nil, "%v %v after its time was up", end, late)
+		j.breakRule(LostMessage, now, sender, d, nil, "%v %v after its time was up", end, late)
 	}
 	if end == model.Refused {
 		j.checkRefusal(now, sender, d)
@@ -343,7 +343,7 @@
 	if first == nil || d.class.Effect == "safe" || d.class.Effect == "keyed" && d.class.Scope == "destination" {
 		return
 	}
-	j.breakRule(Doubled, now, sender, d, nil, "refused, though an attempt of %.3fs may have run", first.at.Seconds())
+	j.breakRule(DoubleEffect, now, sender, d, nil, "refused, though an attempt of %.3fs may have run", first.at.Seconds())
 }
 
 // settle forgets a message that is over once no attempt of it is out.
@@ -358,7 +358,7 @@
 }
 
 // Listed tells what a sender has heard of the list.
-func (j *Judge) Listed(now time.Duration, sender int, e rules.ListUpdate) {
+func (j *Judge) ListReceived(now time.Duration, sender int, e rules.ListUpdate) {
 	r := j.senders[sender]
 	named := map[rules.EndpointID]bool{}
 	for _, entry := range e.Entries {
@@ -385,7 +385,7 @@
 }
 
 // Stopped tells that a sender's process ended. What it held is its duty no more, unless its state outlasts it.
-func (j *Judge) Stopped(sender int, kept bool) {
+func (j *Judge) SenderStopped(sender int, kept bool) {
 	r := j.senders[sender]
 	if !kept {
 		for _, d := range r.duties {
@@ -420,7 +420,7 @@
 }
 
 // Started tells that a sender's process is back.
-func (j *Judge) Started(now time.Duration, sender int) {
+func (j *Judge) SenderStarted(now time.Duration, sender int) {
 	j.senders[sender].down = false
 	j.senders[sender].grace = now + j.s.Rules.RestartGrace.D()
 }
@@ -439,7 +439,7 @@
 				j.due[at] = append(j.due[at], item)
 				continue
 			}
-			j.breakRule(Lost, now, item.sender, item.d, nil, "its time was up at %.3fs and it has no end", item.d.m.Deadline.Seconds())
+			j.breakRule(LostMessage, now, item.sender, item.d, nil, "its time was up at %.3fs and it has no end", item.d.m.Deadline.Seconds())
 			item.d.over = true
 			delete(r.duties, item.d.m.ID)
 		}
@@ -448,7 +448,7 @@
 }
 
 // Owed is how many messages are owed an end.
-func (j *Judge) Owed() int {
+func (j *Judge) Unfinished() int {
 	n := 0
 	for _, items := range j.due {
 		for _, item := range items {
@@ -471,7 +471,7 @@
 }
 
 // Weighed tells of a window of calls that a unit was sent since its return, and above how many it falls over.
-func (j *Judge) Weighed(unit int, window []receiver.Arrival, allowed float64) {
+func (j *Judge) WindowMeasured(unit int, window []receiver.Arrival, allowed float64) {
 	if u := j.units[unit]; u != nil {
 		u.margin = max(u.margin, margin.Of(window, allowed, func(sender int) bool { return u.learned[sender] }))
 	}
@@ -488,7 +488,7 @@
 }
 
 // Fell tells that a cold unit was sent too much; by holds what each sender sent in the span.
-func (j *Judge) Fell(now time.Duration, unit int, by map[int]float64) {
+func (j *Judge) UnitOverloaded(now time.Duration, unit int, by map[int]float64) {
 	u := j.units[unit]
 	if u == nil {
 		return
@@ -510,6 +510,6 @@
 	for _, s := range senders[:min(len(senders), 8)] {
 		trail = append(trail, fmt.Sprintf("sender %d sent %.1f, had seen the outage: %v", s, by[s], u.learned[s]))
 	}
-	j.breakRule(Overrun, now, senders[0], nil, trail, "unit %d, back %v ago, was sent %.1f calls within the span and fell over; %.0f%% came from senders that had seen its outage",
+	j.breakRule(RecoveryOverload, now, senders[0], nil, trail, "unit %d, back %v ago, was sent %.1f calls within the span and fell over; %.0f%% came from senders that had seen its outage",
 		unit, now-u.ends, all, 100*knowing/all)
 }
--- a/lab/live/connections.go
+++ b/lab/live/connections.go
@@ -138,7 +138,7 @@
 func (v *Receivers) call(ep *receiver.Endpoint, conn *network.Conn, sender int, r request, more <-chan request) []byte {
 	if r.head.Method == "GET" && r.head.Target == "/health/live" {
 		healthy := false
-		v.loop.Do(func() { healthy = ep.Health() })
+		v.loop.Do(func() { healthy = ep.Healthy() })
 		return status(map[bool]int{true: 200, false: 503}[healthy], nil)
 	}
 	c := v.parse(r)
@@ -160,7 +160,7 @@
 		if v.watch != nil {
 			v.watch.Called(sender, ep, c)
 		}
-		ep.Take(c, conn)
+		ep.Receive(c, conn)
 	}) {
 		return []byte{}
 	}
@@ -171,8 +171,8 @@
 	case _, open := <-more: // the caller closed, or sent what it must not
 		if !open {
 			v.loop.Do(func() {
-				c.Gone = true
-				ep.CalledOff(c)
+				c.Abandoned = true
+				ep.CallAbandoned(c)
 				if v.watch != nil {
 					v.watch.GivenUp(sender, ep, c)
 				}
@@ -206,7 +206,7 @@
 		if class >= len(v.s.Classes) {
 			class = 0
 		}
-		c.Messages = append(c.Messages, &model.Message{ID: rules.MessageID(id), First: first, Class: class})
+		c.Messages = append(c.Messages, &model.Message{ID: rules.MessageID(id), FirstTry: first, Class: class})
 		c.Attempts = append(c.Attempts, 0)
 	}
 	if r.head.Method != "POST" {
@@ -243,7 +243,7 @@
 
 func (v *Receivers) answer(ep *receiver.Endpoint, c *model.Call, o model.Outcome) []byte {
 	v.count(func(n *Counts) { n.Outcomes[outcomeName(o)]++ })
-	if o.Silent {
+	if o.NoAnswer {
 		return nil
 	}
 	var fields http1.Header
@@ -251,7 +251,7 @@
 		text, _ := json.Marshal(map[string]float64{"x0": o.Report.Remaining, "x1": o.Report.Limit}) // plain values always encode
 		fields = append(fields, http1.Field{Name: "Srv-Load", Value: string(text)})
 	}
-	switch o.What {
+	switch o.Result {
 	case rules.OK:
 		var body []byte
 		if len(c.Messages) > 1 {
@@ -263,8 +263,8 @@
 	case rules.Errored:
 		return status(500, fields)
 	case rules.Refused:
-		if o.Wait > 0 {
-			return status(429, append(fields, http1.Field{Name: "Wait-Ms", Value: strconv.FormatInt(o.Wait.Milliseconds()+1, 10)}))
+		if o.RetryAfter > 0 {
+			return status(429, append(fields, http1.Field{Name: "Wait-Ms", Value: strconv.FormatInt(o.RetryAfter.Milliseconds()+1, 10)}))
 		}
 		return status(503, fields)
 	}
@@ -272,10 +272,10 @@
 }
 
 func outcomeName(o model.Outcome) string {
-	if o.Silent {
+	if o.NoAnswer {
 		return "served, answer lost"
 	}
-	switch o.What {
+	switch o.Result {
 	case rules.OK:
 		return "served"
 	case rules.Errored:
--- a/lab/live/load.go
+++ b/lab/live/load.go
@@ -95,7 +95,7 @@
 	s       *scenario.Scenario
 	o       LoadOptions
 	loop    *Loop
-	crowd   *client.Crowd
+	crowd   *client.LoadGenerator
 	targets []*target
 	wg      sync.WaitGroup
 
@@ -136,7 +136,7 @@
 		l.targets = append(l.targets, &target{addr: addr, idle: make(chan net.Conn, o.Conns), room: make(chan struct{}, o.Conns)})
 	}
 	l.crowd = client.New(s, o.Seed, &l.loop.Q, (*door)(l), (*books)(l))
-	st := &trouble.Stage{Scenario: playableByClients(s), Queue: &l.loop.Q, Clients: l.crowd, Weights: s.DestinationWeights(),
+	st := &trouble.Environment{Scenario: playableByClients(s), Queue: &l.loop.Q, Clients: l.crowd, Weights: s.DestinationWeights(),
 		Units: unitsOf(s), Log: func(format string, args ...any) {
 			if o.Log != nil {
 				o.Log(fmt.Sprintf("%8.3fs ", l.loop.Q.Now().Seconds()) + fmt.Sprintf(format, args...))
@@ -191,7 +191,7 @@
 	ctx, stop := context.WithTimeout(ctx, length+lingerAfter)
 	defer stop()
 	began := time.Now()
-	l.loop.Q.Line(0, 1000).At(length+lingerAfter/2, stop)
+	l.loop.Q.NewScheduler(0, 1000).At(length+lingerAfter/2, stop)
 	l.crowd.Start()
 	l.loop.Run(ctx)
 	l.wg.Wait()
@@ -225,7 +225,7 @@
 type door Load
 
 // Hand sends a message on its way; how it ends is told later.
-func (d *door) Hand(n int, m *model.Message) (taken, up bool) {
+func (d *door) Submit(n int, m *model.Message) (taken, up bool) {
 	l := (*Load)(d)
 	planned := l.loop.At(l.loop.Q.Now())
 	l.mu.Lock()
@@ -235,20 +235,20 @@
 	return true, true
 }
 
-func (d *door) Live(n int) (int, bool) { return n, true }
+func (d *door) FindLive(n int) (int, bool) { return n, true }
 
 // books counts first and later tries.
 type books Load
 
-func (b *books) Asked(time.Duration, *model.Message) {
+func (b *books) MessageSubmitted(time.Duration, *model.Message) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.r.First++
 }
 
-func (b *books) TurnedOff(time.Duration, *model.Message) {}
+func (b *books) MessageTurnedAway(time.Duration, *model.Message) {}
 
-func (b *books) Again(time.Duration, *model.Message) {
+func (b *books) MessageResubmitted(time.Duration, *model.Message) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.r.Again++
@@ -301,7 +301,7 @@
 	}
 	l.mu.Unlock()
 	if refused {
-		l.loop.Do(func() { l.crowd.Ended(n, m, model.Refused, advice) })
+		l.loop.Do(func() { l.crowd.MessageEnded(n, m, model.Refused, advice) })
 	}
 }
 
@@ -402,7 +402,7 @@
 	fields := http1.Header{{Name: "Host", Value: t.addr}, {Name: "Req-Id", Value: id}, {Name: "Req-Kind", Value: class.Name},
 		{Name: "Req-Deadline-Ms", Value: strconv.FormatInt(max(left, 1), 10)}, {Name: "Envelope", Value: "dest=" + strconv.Itoa(m.Dest)}}
 	if class.Effect == "keyed" {
-		fields = append(fields, http1.Field{Name: "Idempotency-Key", Value: l.o.Name + "-" + strconv.Itoa(m.First)})
+		fields = append(fields, http1.Field{Name: "Idempotency-Key", Value: l.o.Name + "-" + strconv.Itoa(m.FirstTry)})
 	}
 	body := make([]byte, l.o.Body)
 	for i := range body {
--- a/lab/live/loop.go
+++ b/lab/live/loop.go
@@ -49,7 +49,7 @@
 	for {
 		_ = l.Q.Run(time.Since(l.start), math.MaxUint64) // no bound of events: real time is the bound
 		wait := time.Hour
-		if next, any := l.Q.Next(); any {
+		if next, any := l.Q.NextAt(); any {
 			wait = max(0, next-time.Since(l.start))
 		}
 		timer.Reset(wait)
--- a/lab/live/observer.go
+++ b/lab/live/observer.go
@@ -12,9 +12,9 @@
 // observer counts what the model does.
 type observer Receivers
 
-func (x *observer) Arrived(*receiver.Unit, *model.Call) {}
+func (x *observer) CallArrived(*receiver.Unit, *model.Call) {}
 
-func (x *observer) Refused(*receiver.Unit, *model.Call, bool) {}
+func (x *observer) CallRefused(*receiver.Unit, *model.Call, bool) {}
 
 func (x *observer) Outage(u *receiver.Unit, begins bool) {
 	if x.watch != nil {
@@ -22,13 +22,13 @@
 	}
 }
 
-func (x *observer) Weighed(u *receiver.Unit, window []receiver.Arrival, allowed float64) {
+func (x *observer) WindowMeasured(u *receiver.Unit, window []receiver.Arrival, allowed float64) {
 	if x.watch != nil {
 		x.watch.Weighed(u, window, allowed)
 	}
 }
 
-func (x *observer) Ran(_ *receiver.Unit, m *model.Message, repeat bool) {
+func (x *observer) MessageTookEffect(_ *receiver.Unit, m *model.Message, repeat bool) {
 	v := (*Receivers)(x)
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -44,7 +44,7 @@
 	}
 }
 
-func (x *observer) Fell(u *receiver.Unit, by map[int]float64) {
+func (x *observer) UnitOverloaded(u *receiver.Unit, by map[int]float64) {
 	v := (*Receivers)(x)
 	if v.watch != nil {
 		v.watch.Fell(u, by)
--- a/lab/live/receivers.go
+++ b/lab/live/receivers.go
@@ -82,7 +82,7 @@
 type Receivers struct {
 	s     *scenario.Scenario
 	loop  *Loop
-	site  *world.Site
+	site  *world.ReceiverSet
 	reg   *registry.Registry
 	discs []*platform.Discovery // by sender
 	watch Watcher
@@ -112,7 +112,7 @@
 // NewFleetReceivers is NewReceivers with senders told apart. The first sender's discovery listens at the address, the others'
 // beside it on ports that are free.
 func NewFleetReceivers(s *scenario.Scenario, seed uint64, discovery string, o FleetOptions, log func(string)) (*Receivers, error) {
-	if n := s.Destinations(); n > 2000 || n*o.Senders > mostDoors {
+	if n := s.DestinationCount(); n > 2000 || n*o.Senders > mostDoors {
 		return nil, fmt.Errorf("%d destinations for %d senders: on sockets 2000 at most, and %d ports", n, o.Senders, mostDoors)
 	}
 	v := &Receivers{s: s, loop: NewLoop(), hosts: map[rules.EndpointID]platform.Entry{}, dials: map[rules.EndpointID][]string{},
@@ -120,7 +120,7 @@
 	v.counts.Outcomes = map[string]int{}
 	q := &v.loop.Q
 	v.reg = registry.New(1, false, s.Registry.Lag.Random(), q, random.Stream(seed, "registry", 0), func(_ int, e rules.ListUpdate) { v.listed(e) })
-	v.site = world.NewSite(s, seed, q, v.reg, (*observer)(v))
+	v.site = world.NewReceiverSet(s, seed, q, v.reg, (*observer)(v))
 	for id := rules.EndpointID(1); int(id) <= len(v.site.Endpoints); id++ {
 		if err := v.listen(v.site.Endpoints[id]); err != nil {
 			v.closeAll()
@@ -149,11 +149,11 @@
 			playable.Troubles = append(playable.Troubles, t)
 		}
 	}
-	st := &trouble.Stage{Scenario: &playable, Queue: &v.loop.Q, Registry: v.reg, Weights: v.s.DestinationWeights(),
+	st := &trouble.Environment{Scenario: &playable, Queue: &v.loop.Q, Registry: v.reg, Weights: v.s.DestinationWeights(),
 		Units: func() []*receiver.Unit { return v.site.Units }, Replace: v.replace,
 		Log: func(format string, args ...any) {
 			for _, d := range v.discs {
-				d.DropListRequests(v.reg.Silent > 0)
+				d.DropListRequests(v.reg.Unreachable > 0)
 			}
 			v.log(fmt.Sprintf("%8.3fs ", v.loop.Q.Now().Seconds()) + fmt.Sprintf(format, args...))
 		}}
--- a/lab/network/network.go
+++ b/lab/network/network.go
@@ -12,19 +12,19 @@
 
 // Network draws crossing times.
 type Network struct {
-	oneWay     random.Times
-	crossZone  time.Duration
-	Handshakes float64
-	r          *rand.Rand
+	oneWay              random.Distribution
+	crossZone           time.Duration
+	HandshakeRoundTrips float64
+	r                   *rand.Rand
 }
 
 // New returns a network.
-func New(oneWay random.Times, crossZone time.Duration, handshakes float64, r *rand.Rand) *Network {
-	return &Network{oneWay: oneWay, crossZone: crossZone, Handshakes: handshakes, r: r}
+func New(oneWay random.Distribution, crossZone time.Duration, handshakes float64, r *rand.Rand) *Network {
+	return &Network{oneWay: oneWay, crossZone: crossZone, HandshakeRoundTrips: handshakes, r: r}
 }
 
 // Cross draws the time from one zone to another.
-func (n *Network) Cross(from, to int) time.Duration {
+func (n *Network) OneWayDelay(from, to int) time.Duration {
 	d := n.oneWay.Draw(n.r)
 	if from != to {
 		d += n.crossZone
@@ -33,17 +33,17 @@
 }
 
 // Handshake draws the time that opening a connection takes.
-func (n *Network) Handshake(from, to int) time.Duration {
-	return time.Duration(n.Handshakes * float64(n.Cross(from, to)+n.Cross(to, from)))
+func (n *Network) HandshakeDelay(from, to int) time.Duration {
+	return time.Duration(n.HandshakeRoundTrips * float64(n.OneWayDelay(from, to)+n.OneWayDelay(to, from)))
 }
 
 // Conn is one connection, from a sender's pool to an endpoint's table.
 type Conn struct {
-	Pool  *Pool
-	Table *Table
-	Busy  bool
-	Dead  bool // the other side does not know of it any more, or hears nothing: calls on it get no answer
-	Idle  time.Duration
+	Pool      *Pool
+	Table     *ConnTable
+	Busy      bool
+	Broken    bool // the other side does not know of it any more, or hears nothing: calls on it get no answer
+	IdleSince time.Duration
 	// OnClose, if set, is told when it closes; on sockets the real connection goes with it.
 	OnClose func()
 	open    bool
@@ -68,15 +68,15 @@
 }
 
 // Table is an endpoint's side: the connections that it holds.
-type Table struct {
-	Cap   int // 0: no bound
-	conns []*Conn
+type ConnTable struct {
+	MaxConns int // 0: no bound
+	conns    []*Conn
 }
 
 // Len is how many connections are open.
-func (t *Table) Len() int { return len(t.conns) }
+func (t *ConnTable) Len() int { return len(t.conns) }
 
-func (t *Table) drop(c *Conn) {
+func (t *ConnTable) drop(c *Conn) {
 	if i := slices.Index(t.conns, c); i >= 0 {
 		last := len(t.conns) - 1
 		t.conns[i], t.conns[last] = t.conns[last], nil
@@ -85,12 +85,12 @@
 }
 
 // Accept opens a connection if there is room, after closing those that have been idle too long.
-func (t *Table) Accept(p *Pool, now time.Duration) *Conn {
-	if t.Cap > 0 && len(t.conns) >= t.Cap {
+func (t *ConnTable) Accept(p *Pool, now time.Duration) *Conn {
+	if t.MaxConns > 0 && len(t.conns) >= t.MaxConns {
 		for _, c := range slices.Clone(t.conns) {
 			c.Pool.expire(c, now)
 		}
-		if len(t.conns) >= t.Cap {
+		if len(t.conns) >= t.MaxConns {
 			return nil
 		}
 	}
@@ -100,14 +100,14 @@
 }
 
 // Kill marks every connection dead: it stays open and silent.
-func (t *Table) Kill() {
+func (t *ConnTable) BreakAll() {
 	for _, c := range t.conns {
-		c.Dead = true
+		c.Broken = true
 	}
 }
 
 // Reset closes every connection and returns those that were busy.
-func (t *Table) Reset() (busy []*Conn) {
+func (t *ConnTable) CloseAll() (busy []*Conn) {
 	for _, c := range slices.Clone(t.conns) {
 		if c.Busy {
 			busy = append(busy, c)
@@ -124,14 +124,14 @@
 }
 
 func (p *Pool) expire(c *Conn, now time.Duration) {
-	if !c.Busy && now-c.Idle >= p.KeepAlive {
+	if !c.Busy && now-c.IdleSince >= p.KeepAlive {
 		c.Close()
 	}
 }
 
 // Take returns an idle connection, nil if there is none, closing those that have been idle too long.
-func (p *Pool) Take(now time.Duration) *Conn {
-	p.Expire(now)
+func (p *Pool) Get(now time.Duration) *Conn {
+	p.CloseExpired(now)
 	if len(p.idle) == 0 {
 		return nil
 	}
@@ -142,8 +142,8 @@
 }
 
 // Expire closes connections that have been idle too long.
-func (p *Pool) Expire(now time.Duration) {
-	for len(p.idle) > 0 && now-p.idle[0].Idle >= p.KeepAlive {
+func (p *Pool) CloseExpired(now time.Duration) {
+	for len(p.idle) > 0 && now-p.idle[0].IdleSince >= p.KeepAlive {
 		p.idle[0].Close()
 	}
 }
@@ -156,7 +156,7 @@
 	if !c.open {
 		return
 	}
-	c.Busy, c.Idle = false, now
+	c.Busy, c.IdleSince = false, now
 	if p.KeepAlive <= 0 {
 		c.Close()
 		return
--- a/lab/random/random.go
+++ b/lab/random/random.go
@@ -31,7 +31,7 @@
 )
 
 // Times draws durations.
-type Times struct {
+type Distribution struct {
 	shape Shape
 	mean  float64 // seconds
 	cv    float64
@@ -44,26 +44,30 @@
 }
 
 // Fixed always draws d.
-func Fixed(d time.Duration) Times { return Times{shape: Constant, mean: d.Seconds()} }
+func NewConstant(d time.Duration) Distribution {
+	return Distribution{shape: Constant, mean: d.Seconds()}
+}
 
 // Exp draws from an exponential distribution.
-func Exp(mean time.Duration) Times { return Times{shape: Exponential, mean: mean.Seconds()} }
+func NewExponential(mean time.Duration) Distribution {
+	return Distribution{shape: Exponential, mean: mean.Seconds()}
+}
 
 // Log draws from a lognormal distribution with a mean and a coefficient of variation (standard deviation over mean).
-func Log(mean time.Duration, cv float64) Times {
+func NewLognormal(mean time.Duration, cv float64) Distribution {
 	s2 := math.Log1p(cv * cv)
-	return Times{shape: Lognormal, mean: mean.Seconds(), cv: cv, mu: math.Log(mean.Seconds()) - s2/2, sigma: math.Sqrt(s2)}
+	return Distribution{shape: Lognormal, mean: mean.Seconds(), cv: cv, mu: math.Log(mean.Seconds()) - s2/2, sigma: math.Sqrt(s2)}
 }
 
 // Between draws evenly from a range.
-func Between(low, high time.Duration) Times {
-	return Times{shape: Uniform, mean: (low + high).Seconds() / 2, low: low.Seconds(), high: high.Seconds()}
+func NewUniform(low, high time.Duration) Distribution {
+	return Distribution{shape: Uniform, mean: (low + high).Seconds() / 2, low: low.Seconds(), high: high.Seconds()}
 }
 
 // Steps draws from a histogram: a step is chosen by weight, a time within it evenly. Step i ends at bounds[i] and starts
 // where the one before ends, the first at 0. Weights need not sum to 1.
-func Steps(bounds []time.Duration, weights []float64) Times {
-	t := Times{shape: Histogram}
+func NewHistogram(bounds []time.Duration, weights []float64) Distribution {
+	t := Distribution{shape: Histogram}
 	var sum, low float64
 	for _, w := range weights {
 		sum += w
@@ -80,10 +84,10 @@
 }
 
 // Mean is the mean of the distribution.
-func (t Times) Mean() time.Duration { return seconds(t.mean) }
+func (t Distribution) Mean() time.Duration { return seconds(t.mean) }
 
 // Draw returns one duration, never negative.
-func (t Times) Draw(r *rand.Rand) time.Duration {
+func (t Distribution) Draw(r *rand.Rand) time.Duration {
 	switch t.shape {
 	case Exponential:
 		return seconds(distuv.Exponential{Rate: 1 / max(t.mean, 1e-12), Src: r}.Rand())
@@ -97,7 +101,7 @@
 	return seconds(t.mean)
 }
 
-func (t Times) fromHistogram(which, within float64) float64 {
+func (t Distribution) fromHistogram(which, within float64) float64 {
 	low := 0.0
 	for i, c := range t.cum {
 		if which < c || i == len(t.cum)-1 {
--- a/lab/random/random_test.go
+++ b/lab/random/random_test.go
@@ -7,12 +7,12 @@
 )
 
 func TestDistributionsHaveTheirMean(t *testing.T) {
-	for name, d := range map[string]Times{
-		"constant":    Fixed(80 * time.Millisecond),
-		"exponential": Exp(80 * time.Millisecond),
-		"lognormal":   Log(80*time.Millisecond, 0.7),
-		"uniform":     Between(40*time.Millisecond, 120*time.Millisecond),
-		"histogram":   Steps([]time.Duration{60 * time.Millisecond, 120 * time.Millisecond, time.Second}, []float64{3, 3, 0.2}),
+	for name, d := range map[string]Distribution{
+		"constant":    NewConstant(80 * time.Millisecond),
+		"exponential": NewExponential(80 * time.Millisecond),
+		"lognormal":   NewLognormal(80*time.Millisecond, 0.7),
+		"uniform":     NewUniform(40*time.Millisecond, 120*time.Millisecond),
+		"histogram":   NewHistogram([]time.Duration{60 * time.Millisecond, 120 * time.Millisecond, time.Second}, []float64{3, 3, 0.2}),
 	} {
 		r := Stream(1, name, 0)
 		var sum float64
--- a/lab/receiver/receiver.go
+++ b/lab/receiver/receiver.go
@@ -16,18 +16,18 @@
 
 // Spec says how the endpoints of a unit behave; it is the same for all of a kind but for pace and limit.
 type Spec struct {
-	Servers   int
-	Queue     int
-	Service   random.Times // of a call with one message of a class whose work is 1
-	Pace      float64      // service times are multiplied by it
-	Work      []float64    // by class
-	BatchCost float64
-	Batch     int
-	Drops     string // none, queued or all
-	Reports   bool
-	Tells     float64
-	Remembers []time.Duration    // by class: how long a key is remembered, 0 for classes without
-	Scopes    []rules.DedupScope // by class
+	Servers           int
+	MaxQueued         int
+	ServiceTime       random.Distribution // of a call with one message of a class whose work is 1
+	ServiceTimeFactor float64             // service times are multiplied by it
+	WorkByClass       []float64           // by class
+	BatchCost         float64
+	MaxBatch          int
+	DropAbandoned     string // none, queued or all
+	ReportsLimit      bool
+	RetryAfterShare   float64
+	DedupWindows      []time.Duration    // by class: how long a key is remembered, 0 for classes without
+	DedupScopes       []rules.DedupScope // by class
 
 	ColdShare      float64
 	WarmUp         time.Duration
@@ -40,31 +40,31 @@
 // Observer is told what happens at receivers.
 type Observer interface {
 	// Arrived tells of a call that reached a unit which is cold, or is in an outage, or of one refused.
-	Arrived(u *Unit, c *model.Call)
+	CallArrived(u *Unit, c *model.Call)
 	// Ran tells that a message took effect; repeat tells that it had before, within what the class allows or not.
-	Ran(u *Unit, m *model.Message, repeat bool)
+	MessageTookEffect(u *Unit, m *model.Message, repeat bool)
 	// Outage tells that an outage began or ended.
 	Outage(u *Unit, begins bool)
 	// Weighed tells what a cold unit was sent within the span up to now, and above how much it falls over.
-	Weighed(u *Unit, window []Arrival, allowed float64)
+	WindowMeasured(u *Unit, window []Arrival, allowed float64)
 	// Fell tells that a cold unit was sent too much and stays down; senders holds who sent how much of it.
-	Fell(u *Unit, senders map[int]float64)
+	UnitOverloaded(u *Unit, senders map[int]float64)
 	// Refused tells that a unit turned a call away, for its limit if limit is set.
-	Refused(u *Unit, c *model.Call, limit bool)
+	CallRefused(u *Unit, c *model.Call, limit bool)
 }
 
 // Endpoint is one place that serves calls.
 type Endpoint struct {
-	ID      rules.EndpointID
-	Unit    *Unit
-	Zone    int
-	Number  int
-	Table   network.Table
-	Removed bool // drained and gone
-	Closing bool // drains
+	ID       rules.EndpointID
+	Unit     *Unit
+	Zone     int
+	Number   int
+	Conns    network.ConnTable
+	Removed  bool // drained and gone
+	Draining bool // drains
 
 	q      *clock.Queue
-	line   *clock.Line
+	line   *clock.Scheduler
 	r      *rand.Rand
 	busy   int
 	queue  []*job
@@ -75,13 +75,13 @@
 	born   time.Duration
 	opens  time.Duration // while it is shut, the wait that it tells lasts until then
 
-	Refusing int     // connects are refused
-	Dark     int     // silent: nothing gets in or out
-	Hung     int     // takes calls, answers none
-	Shut     int     // turns all away
-	Failing  float64 // share of calls that fail at once
-	Losing   float64 // share of answers that are lost
-	Slow     float64 // service times are multiplied by it
+	RefusingConnects int     // connects are refused
+	Unresponsive     int     // silent: nothing gets in or out
+	Hanging          int     // takes calls, answers none
+	RefusingCalls    int     // turns all away
+	ErrorShare       float64 // share of calls that fail at once
+	LostAnswerShare  float64 // share of answers that are lost
+	Slowdown         float64 // service times are multiplied by it
 }
 
 type job struct {
@@ -92,8 +92,8 @@
 
 // NewEndpoint returns an endpoint of a unit, which it joins.
 func NewEndpoint(id rules.EndpointID, number, zone int, u *Unit, cap int, q *clock.Queue, r *rand.Rand) *Endpoint {
-	ep := &Endpoint{ID: id, Number: number, Unit: u, Zone: zone, Table: network.Table{Cap: cap}, q: q,
-		line: q.Line(clock.Receive, 2*number), r: r, run: map[*job]bool{}, born: q.Now(), Slow: 1}
+	ep := &Endpoint{ID: id, Number: number, Unit: u, Zone: zone, Conns: network.ConnTable{MaxConns: cap}, q: q,
+		line: q.NewScheduler(clock.Receive, 2*number), r: r, run: map[*job]bool{}, born: q.Now(), Slowdown: 1}
 	u.Endpoints = append(u.Endpoints, ep)
 	return ep
 }
@@ -102,42 +102,42 @@
 // nothing at all.
 func (ep *Endpoint) Connect(p *network.Pool, now time.Duration) (c *network.Conn, full, silent bool) {
 	switch {
-	case ep.Dark > 0:
+	case ep.Unresponsive > 0:
 		return nil, false, true
-	case ep.Refusing > 0 || ep.Unit.Fallen || ep.Removed:
+	case ep.RefusingConnects > 0 || ep.Unit.Collapsed || ep.Removed:
 		return nil, false, false
 	}
-	c = ep.Table.Accept(p, now)
+	c = ep.Conns.Accept(p, now)
 	return c, c == nil, false
 }
 
 // Take takes a call that has arrived. Its Done is told the outcome, now or later, or never.
-func (ep *Endpoint) Take(c *model.Call, conn *network.Conn) {
+func (ep *Endpoint) Receive(c *model.Call, conn *network.Conn) {
 	now := ep.q.Now()
 	u := ep.Unit
-	if conn.Dead || ep.Dark > 0 { // the bytes reach nobody
+	if conn.Broken || ep.Unresponsive > 0 { // the bytes reach nobody
 		return
 	}
-	u.obs.Arrived(u, c)
+	u.obs.CallArrived(u, c)
 	u.weigh(now, ep, c)
-	if !c.Gone && !conn.Open() {
-		c.Done(model.Outcome{What: rules.Reset})
+	if !c.Abandoned && !conn.Open() {
+		c.Done(model.Outcome{Result: rules.Reset})
 		return
 	}
-	if ep.Hung > 0 {
+	if ep.Hanging > 0 {
 		ep.stuck = append(ep.stuck, &job{call: c, conn: conn})
 		return
 	}
-	if ep.Shut > 0 {
+	if ep.RefusingCalls > 0 {
 		ep.refuse(c, max(0, ep.opens-now), false)
 		return
 	}
-	if ep.Failing > 0 && ep.r.Float64() < ep.Failing {
-		c.Done(model.Outcome{What: rules.Errored, Report: ep.report(now)})
+	if ep.ErrorShare > 0 && ep.r.Float64() < ep.ErrorShare {
+		c.Done(model.Outcome{Result: rules.Errored, Report: ep.report(now)})
 		return
 	}
 	if u.limit != nil {
-		if ok, wait := u.limit.admit(now, u.Share(now)); !ok {
+		if ok, wait := u.limit.admit(now, u.CapacityShare(now)); !ok {
 			ep.refuse(c, wait, true)
 			return
 		}
@@ -148,15 +148,15 @@
 func (ep *Endpoint) refuse(c *model.Call, wait time.Duration, byLimit bool) {
 	u := ep.Unit
 	u.Refusals++
-	if wait > 0 && !(ep.r.Float64() < u.Spec.Tells) {
+	if wait > 0 && !(ep.r.Float64() < u.Spec.RetryAfterShare) {
 		wait = 0
 	}
-	u.obs.Refused(u, c, byLimit)
-	c.Done(model.Outcome{What: rules.Refused, Wait: wait, Report: ep.report(ep.q.Now())})
+	u.obs.CallRefused(u, c, byLimit)
+	c.Done(model.Outcome{Result: rules.Refused, RetryAfter: wait, Report: ep.report(ep.q.Now())})
 }
 
 func (ep *Endpoint) report(now time.Duration) rules.Report {
-	if !ep.Unit.Spec.Reports || ep.Unit.limit == nil {
+	if !ep.Unit.Spec.ReportsLimit || ep.Unit.limit == nil {
 		return rules.Report{}
 	}
 	return ep.Unit.limit.report(now)
@@ -167,7 +167,7 @@
 		ep.serve(j)
 		return
 	}
-	if len(ep.queue) >= ep.Unit.Spec.Queue {
+	if len(ep.queue) >= ep.Unit.Spec.MaxQueued {
 		ep.release(j)
 		ep.refuse(j.call, 0, false)
 		return
@@ -180,8 +180,8 @@
 	ep.busy++
 	ep.run[j] = true
 	u := ep.Unit
-	work := u.Spec.Work[j.call.Messages[0].Class]
-	d := u.Spec.Service.Draw(ep.r).Seconds() * u.Spec.Pace * work * ep.Slow / ep.share()
+	work := u.Spec.WorkByClass[j.call.Messages[0].Class]
+	d := u.Spec.ServiceTime.Draw(ep.r).Seconds() * u.Spec.ServiceTimeFactor * work * ep.Slowdown / ep.share()
 	d *= 1 + u.Spec.BatchCost*float64(len(j.call.Messages)-1)
 	ep.line.After(time.Duration(d*float64(time.Second)), func() { ep.served(j) })
 }
@@ -198,7 +198,7 @@
 	if !ep.run[j] { // a crash, or it was dropped
 		return
 	}
-	if ep.Hung > 0 {
+	if ep.Hanging > 0 {
 		delete(ep.run, j)
 		ep.busy--
 		ep.stuck = append(ep.stuck, j)
@@ -210,8 +210,8 @@
 	for _, m := range j.call.Messages {
 		ep.effect(m)
 	}
-	out := model.Outcome{What: rules.OK, Report: ep.report(ep.q.Now())}
-	out.Silent = ep.Dark > 0 || j.conn.Dead || ep.Losing > 0 && ep.r.Float64() < ep.Losing
+	out := model.Outcome{Result: rules.OK, Report: ep.report(ep.q.Now())}
+	out.NoAnswer = ep.Unresponsive > 0 || j.conn.Broken || ep.LostAnswerShare > 0 && ep.r.Float64() < ep.LostAnswerShare
 	j.call.Done(out)
 	ep.next()
 }
@@ -219,22 +219,22 @@
 // effect books that a message ran, and whether it had before.
 func (ep *Endpoint) effect(m *model.Message) {
 	u, now := ep.Unit, ep.q.Now()
-	window := u.Spec.Remembers[m.Class]
+	window := u.Spec.DedupWindows[m.Class]
 	if window == 0 {
-		u.obs.Ran(u, m, false)
+		u.obs.MessageTookEffect(u, m, false)
 		return
 	}
 	holder := ep
-	if u.Spec.Scopes[m.Class] == rules.DedupDestination {
+	if u.Spec.DedupScopes[m.Class] == rules.DedupDestination {
 		holder = u.Endpoints[0]
 	}
 	if holder.seen == nil {
 		holder.seen = map[string]time.Duration{}
 	}
-	key := memory(m, u.Spec.Scopes[m.Class], ep.Zone)
+	key := memory(m, u.Spec.DedupScopes[m.Class], ep.Zone)
 	at, before := holder.seen[key]
 	if before && now-at < window {
-		u.obs.Ran(u, m, true)
+		u.obs.MessageTookEffect(u, m, true)
 		return
 	}
 	holder.seen[key] = now
@@ -245,11 +245,11 @@
 			}
 		}
 	}
-	u.obs.Ran(u, m, false)
+	u.obs.MessageTookEffect(u, m, false)
 }
 
 func memory(m *model.Message, scope rules.DedupScope, zone int) string {
-	key := []byte{byte(m.First), byte(m.First >> 8), byte(m.First >> 16), byte(m.First >> 24)}
+	key := []byte{byte(m.FirstTry), byte(m.FirstTry >> 8), byte(m.FirstTry >> 16), byte(m.FirstTry >> 24)}
 	if scope == rules.DedupZone {
 		key = append(key, byte(zone))
 	}
@@ -272,8 +272,8 @@
 }
 
 // CalledOff tells that the sender gave up a call.
-func (ep *Endpoint) CalledOff(c *model.Call) {
-	switch ep.Unit.Spec.Drops {
+func (ep *Endpoint) CallAbandoned(c *model.Call) {
+	switch ep.Unit.Spec.DropAbandoned {
 	case "none":
 		return
 	case "all":
@@ -297,28 +297,28 @@
 }
 
 // Health is a shallow health call: whether the process answers and takes calls. It costs no slot and no limit.
-func (ep *Endpoint) Health() bool {
-	return ep.Refusing == 0 && ep.Dark == 0 && ep.Hung == 0 && ep.Shut == 0 && !ep.Unit.Fallen
+func (ep *Endpoint) Healthy() bool {
+	return ep.RefusingConnects == 0 && ep.Unresponsive == 0 && ep.Hanging == 0 && ep.RefusingCalls == 0 && !ep.Unit.Collapsed
 }
 
 // Free tells whether a call that arrived now would be admitted by all but the limit.
-func (ep *Endpoint) Free() bool {
-	return ep.Health() && !ep.Removed && !ep.Closing && ep.Failing < 0.5 &&
-		(len(ep.queue) == 0 || 3*len(ep.queue) < ep.Unit.Spec.Servers && len(ep.queue)+1 < ep.Unit.Spec.Queue)
+func (ep *Endpoint) HasCapacity() bool {
+	return ep.Healthy() && !ep.Removed && !ep.Draining && ep.ErrorShare < 0.5 &&
+		(len(ep.queue) == 0 || 3*len(ep.queue) < ep.Unit.Spec.Servers && len(ep.queue)+1 < ep.Unit.Spec.MaxQueued)
 }
 
 // Crash ends the process: all it had is reset, and connects are refused until Restart.
 func (ep *Endpoint) Crash() {
-	ep.Refusing++
+	ep.RefusingConnects++
 	ep.resetAll()
 }
 
 // Restart ends one Crash.
-func (ep *Endpoint) Restart() { ep.Refusing-- }
+func (ep *Endpoint) Restart() { ep.RefusingConnects-- }
 
 // fall ends the process for good.
 func (ep *Endpoint) fall() {
-	ep.Refusing++
+	ep.RefusingConnects++
 	ep.resetAll()
 }
 
@@ -326,11 +326,11 @@
 func (ep *Endpoint) resetAll() {
 	jobs := ep.jobs()
 	ep.queue, ep.stuck, ep.run, ep.busy = nil, nil, map[*job]bool{}, 0
-	ep.Table.Reset()
+	ep.Conns.CloseAll()
 	for _, j := range jobs {
 		ep.release(j)
-		if ep.Dark == 0 {
-			j.call.Done(model.Outcome{What: rules.Reset})
+		if ep.Unresponsive == 0 {
+			j.call.Done(model.Outcome{Result: rules.Reset})
 		}
 	}
 }
@@ -348,13 +348,13 @@
 
 // Vanish cuts the endpoint off: open connections stay open and silent, new ones never come up.
 func (ep *Endpoint) Vanish() {
-	ep.Dark++
-	ep.Table.Kill()
+	ep.Unresponsive++
+	ep.Conns.BreakAll()
 }
 
 // Reappear ends one Vanish. The machine has lost all it had; who uses an old connection hears nothing or is reset.
 func (ep *Endpoint) Reappear() {
-	if ep.Dark--; ep.Dark == 0 {
+	if ep.Unresponsive--; ep.Unresponsive == 0 {
 		for _, j := range ep.jobs() {
 			ep.release(j)
 		}
@@ -363,14 +363,14 @@
 }
 
 // OpensIn sets the end of the waits that the endpoint tells while it is shut.
-func (ep *Endpoint) OpensIn(d time.Duration) { ep.opens = ep.q.Now() + d }
+func (ep *Endpoint) AnnounceReopening(d time.Duration) { ep.opens = ep.q.Now() + d }
 
 // Hang makes the endpoint take calls and answer none.
-func (ep *Endpoint) Hang() { ep.Hung++ }
+func (ep *Endpoint) Hang() { ep.Hanging++ }
 
 // Unhang ends one Hang: the process is restarted, and resets what it had.
 func (ep *Endpoint) Unhang() {
-	if ep.Hung--; ep.Hung == 0 {
+	if ep.Hanging--; ep.Hanging == 0 {
 		ep.resetAll()
 	}
 }
@@ -385,7 +385,7 @@
 }
 
 // BreakConnections leaves open connections half-broken: they stay open, and calls on them reach nobody.
-func (ep *Endpoint) BreakConnections() { ep.Table.Kill() }
+func (ep *Endpoint) BreakConnections() { ep.Conns.BreakAll() }
 
 // Load is how many calls are served, and how many wait.
 func (ep *Endpoint) Load() (serving, waiting int) { return ep.busy, len(ep.queue) }
--- a/lab/receiver/unit.go
+++ b/lab/receiver/unit.go
@@ -21,13 +21,13 @@
 	r         *rand.Rand
 	obs       Observer
 
-	outages  int           // reasons for an outage that hold now
-	Since    time.Duration // when the outage began
-	cold     bool
-	coldFrom time.Duration
-	Fallen   bool
-	recent   []Arrival // while cold
-	Refusals int
+	outages     int           // reasons for an outage that hold now
+	OutageSince time.Duration // when the outage began
+	cold        bool
+	coldFrom    time.Duration
+	Collapsed   bool
+	recent      []Arrival // while cold
+	Refusals    int
 }
 
 // Arrival is a call that reached a cold unit.
@@ -43,20 +43,20 @@
 }
 
 // LimitRate gives the unit a plain rate of calls.
-func (u *Unit) LimitRate(perSecond, burst float64, usesUp bool) {
+func (u *Unit) SetRateLimit(perSecond, burst float64, usesUp bool) {
 	u.limit = newRateLimit(perSecond, burst, usesUp)
 }
 
 // LimitWindow gives the unit a count of calls in each span.
-func (u *Unit) LimitWindow(count float64, span time.Duration, usesUp bool) {
+func (u *Unit) SetWindowLimit(count float64, span time.Duration, usesUp bool) {
 	u.limit = &windowLimit{first: count, part: 1, span: span, usesUp: usesUp, index: -1}
 }
 
 // LimitConcurrent gives the unit a count of calls at once.
-func (u *Unit) LimitConcurrent(count float64) { u.limit = &concurrentLimit{first: count, part: 1} }
+func (u *Unit) SetConcurrencyLimit(count float64) { u.limit = &concurrentLimit{first: count, part: 1} }
 
 // Sibling returns a unit like this one, for a route that takes this one's place: the same limit, and nothing of its past.
-func (u *Unit) Sibling(number int) *Unit {
+func (u *Unit) Replacement(number int) *Unit {
 	s := NewUnit(number, u.Dest, u.Kind, u.Spec, u.r, u.obs)
 	if u.limit != nil {
 		s.limit = u.limit.fresh()
@@ -65,7 +65,7 @@
 }
 
 // Listed is the calls a second that the unit takes at full share, from its limit and its servers.
-func (u *Unit) Listed() float64 {
+func (u *Unit) Capacity() float64 {
 	rate := u.serverRate()
 	if u.limit != nil {
 		if l := u.limit.perSecond(); l > 0 {
@@ -77,8 +77,8 @@
 
 func (u *Unit) serverRate() float64 {
 	mean := 0.0
-	for _, w := range u.Spec.Work {
-		mean += w / float64(len(u.Spec.Work))
+	for _, w := range u.Spec.WorkByClass {
+		mean += w / float64(len(u.Spec.WorkByClass))
 	}
 	n := 0
 	for _, ep := range u.Endpoints {
@@ -86,12 +86,12 @@
 			n++
 		}
 	}
-	return float64(n*u.Spec.Servers) / max(u.Spec.Service.Mean().Seconds()*u.Spec.Pace*mean, 1e-9)
+	return float64(n*u.Spec.Servers) / max(u.Spec.ServiceTime.Mean().Seconds()*u.Spec.ServiceTimeFactor*mean, 1e-9)
 }
 
 // Share is the part of its capacity that the unit has at a time. Endpoints that joined since the outage are machines of
 // their own and were never cold; the others warm up evenly.
-func (u *Unit) Share(now time.Duration) float64 {
+func (u *Unit) CapacityShare(now time.Duration) float64 {
 	share := u.warmth(now)
 	if share == 1 {
 		return 1
@@ -116,19 +116,19 @@
 }
 
 // Down tells whether an outage lasts.
-func (u *Unit) Down() bool { return u.outages > 0 || u.Fallen }
+func (u *Unit) Down() bool { return u.outages > 0 || u.Collapsed }
 
 // BeginOutage adds a reason for an outage.
 func (u *Unit) BeginOutage(now time.Duration) {
-	if u.outages++; u.outages == 1 && !u.Fallen {
-		u.Since, u.cold, u.recent = now, false, nil
+	if u.outages++; u.outages == 1 && !u.Collapsed {
+		u.OutageSince, u.cold, u.recent = now, false, nil
 		u.obs.Outage(u, true)
 	}
 }
 
 // EndOutage takes one away; with the last one the unit comes back cold.
 func (u *Unit) EndOutage(now time.Duration) {
-	if u.outages--; u.outages == 0 && !u.Fallen {
+	if u.outages--; u.outages == 0 && !u.Collapsed {
 		u.cold, u.coldFrom, u.recent = true, now, nil
 		u.obs.Outage(u, false)
 	}
@@ -145,7 +145,7 @@
 // that joined since the outage neither count nor have a part in the budget.
 func (u *Unit) weigh(now time.Duration, ep *Endpoint, c *model.Call) {
 	warmth := u.warmth(now)
-	if !u.cold || u.Fallen || ep.born > u.coldFrom {
+	if !u.cold || u.Collapsed || ep.born > u.coldFrom {
 		return
 	}
 	weight := 1 + float64(len(c.Messages)-1)*u.Spec.BatchCost
@@ -158,7 +158,7 @@
 		sum += a.Weight
 	}
 	allowed := u.Spec.allowed(u.budget(warmth))
-	u.obs.Weighed(u, u.recent, allowed)
+	u.obs.WindowMeasured(u, u.recent, allowed)
 	if sum <= allowed {
 		return
 	}
@@ -166,18 +166,18 @@
 	for _, a := range u.recent {
 		by[a.Sender] += a.Weight
 	}
-	u.Fallen, u.cold, u.recent = true, false, nil
+	u.Collapsed, u.cold, u.recent = true, false, nil
 	for _, ep := range u.Endpoints {
 		ep.fall()
 	}
-	u.obs.Fell(u, by)
+	u.obs.UnitOverloaded(u, by)
 }
 
 // budget is what the endpoints that were in the outage may be sent within the span. The rule speaks of messages: a unit that
 // takes several in a call takes as many times its calls, while a call weighs little more than one message.
 func (u *Unit) budget(warmth float64) float64 {
 	old, all := u.members()
-	return u.Spec.OverloadFactor * u.Listed() * float64(u.Spec.Batch) * warmth * u.Spec.FallWindow.Seconds() * float64(old) / float64(max(all, 1))
+	return u.Spec.OverloadFactor * u.Capacity() * float64(u.Spec.MaxBatch) * warmth * u.Spec.FallWindow.Seconds() * float64(old) / float64(max(all, 1))
 }
 
 // members counts the endpoints that were there in the outage, and all that are there.
@@ -214,7 +214,7 @@
 
 // Room is how many calls a unit's limit still admits, and how long until it admits one more; for policies that are
 // allowed to see the true state.
-func (u *Unit) Room(now time.Duration) float64 {
+func (u *Unit) RemainingLimit(now time.Duration) float64 {
 	switch l := u.limit.(type) {
 	case *rateLimit:
 		if now < l.debt {
@@ -223,17 +223,17 @@
 		return l.bucket.TokensAt(epoch.Add(now))
 	case *windowLimit:
 		if now/l.span != l.index {
-			return max(l.first*l.part*u.Share(now), 1)
+			return max(l.first*l.part*u.CapacityShare(now), 1)
 		}
-		return max(l.first*l.part*u.Share(now), 1) - l.used
+		return max(l.first*l.part*u.CapacityShare(now), 1) - l.used
 	case *concurrentLimit:
-		return max(l.first*l.part*u.Share(now), 1) - float64(l.used)
+		return max(l.first*l.part*u.CapacityShare(now), 1) - float64(l.used)
 	}
 	return 1e9
 }
 
 // ColdRoom is how much more a cold unit may be sent now before it falls over; for policies that see the true state.
-func (u *Unit) ColdRoom(now time.Duration) float64 {
+func (u *Unit) RemainingColdBudget(now time.Duration) float64 {
 	warmth := u.warmth(now)
 	if !u.cold {
 		return 1e9
--- a/lab/registry/registry.go
+++ b/lab/registry/registry.go
@@ -15,9 +15,9 @@
 type Registry struct {
 	entries []rules.Entry // the list as it stands, in the order of adding
 	index   map[rules.EndpointID]int
-	lag     random.Times
+	lag     random.Distribution
 	r       *rand.Rand
-	line    *clock.Line
+	line    *clock.Scheduler
 	q       *clock.Queue
 	ask     bool
 	tell    func(sender int, e rules.ListUpdate)
@@ -25,8 +25,8 @@
 	version int
 	changes []rules.Entry // since the start; a version is a position behind it
 
-	Silent int           // it tells nobody anything
-	Lag    time.Duration // added to every telling
+	Unreachable int           // it tells nobody anything
+	ExtraLag    time.Duration // added to every telling
 }
 
 // tale is what one sender has been told.
@@ -38,13 +38,13 @@
 }
 
 // New returns a registry for so many senders; tell carries a telling to a sender's inbox.
-func New(senders int, ask bool, lag random.Times, q *clock.Queue, r *rand.Rand, tell func(int, rules.ListUpdate)) *Registry {
-	return &Registry{index: map[rules.EndpointID]int{}, lag: lag, r: r, q: q, line: q.Line(clock.Registry, 0), ask: ask,
+func New(senders int, ask bool, lag random.Distribution, q *clock.Queue, r *rand.Rand, tell func(int, rules.ListUpdate)) *Registry {
+	return &Registry{index: map[rules.EndpointID]int{}, lag: lag, r: r, q: q, line: q.NewScheduler(clock.Registry, 0), ask: ask,
 		tell: tell, told: make([]tale, senders)}
 }
 
 // Seed adds an entry before the run starts.
-func (g *Registry) Seed(e rules.Entry) {
+func (g *Registry) AddInitial(e rules.Entry) {
 	g.index[e.Endpoint] = len(g.entries)
 	g.entries = append(g.entries, e)
 }
@@ -54,7 +54,7 @@
 	if i, known := g.index[e.Endpoint]; known {
 		g.entries[i] = e
 	} else {
-		g.Seed(e)
+		g.AddInitial(e)
 	}
 	g.changes = append(g.changes, e)
 	for s := range g.told {
@@ -74,16 +74,16 @@
 // schedule tells a sender of what is new, after the lag.
 func (g *Registry) schedule(s int) {
 	t := &g.told[s]
-	if t.pending || g.ask && !t.watches || g.Silent > 0 || t.version == len(g.changes) {
+	if t.pending || g.ask && !t.watches || g.Unreachable > 0 || t.version == len(g.changes) {
 		return
 	}
 	t.pending = true
-	at := max(g.q.Now()+g.lag.Draw(g.r)+g.Lag, t.last)
+	at := max(g.q.Now()+g.lag.Draw(g.r)+g.ExtraLag, t.last)
 	t.last = at
 	upTo := len(g.changes)
 	g.line.At(at, func() {
 		t.pending = false
-		if t.version < upTo && g.Silent == 0 {
+		if t.version < upTo && g.Unreachable == 0 {
 			entries := g.changes[t.version:upTo]
 			t.version = upTo
 			g.tell(s, rules.ListUpdate{Entries: entries})
@@ -93,7 +93,7 @@
 }
 
 // Speak tells everybody what was missed while the registry was silent.
-func (g *Registry) Speak() {
+func (g *Registry) ResumeUpdates() {
 	for s := range g.told {
 		g.schedule(s)
 	}
@@ -101,7 +101,7 @@
 
 // Watch is a sender's wish to hear changes from now on. It hears at once that the call failed while all is silent.
 func (g *Registry) Watch(s int, failed func()) {
-	if g.Silent > 0 {
+	if g.Unreachable > 0 {
 		g.line.After(g.lag.Draw(g.r), failed)
 		return
 	}
@@ -110,7 +110,7 @@
 }
 
 // Start returns the list as a sender that starts holds it: as it was last told, and nothing later.
-func (g *Registry) Start(s int) rules.ListUpdate {
+func (g *Registry) SenderStarted(s int) rules.ListUpdate {
 	t := &g.told[s]
 	t.watches, t.pending = false, false
 	if t.version == 0 && len(g.changes) == 0 {
@@ -163,7 +163,7 @@
 }
 
 // Seal ends the seeding: what is in the list now is its first version.
-func (g *Registry) Seal() { g.version = len(g.entries) }
+func (g *Registry) SealInitial() { g.version = len(g.entries) }
 
 func (g *Registry) live() []rules.Entry {
 	var out []rules.Entry
@@ -176,4 +176,4 @@
 }
 
 // Amend changes an entry before the run starts, untold.
-func (g *Registry) Amend(e rules.Entry) { g.entries[g.index[e.Endpoint]] = e }
+func (g *Registry) UpdateInitial(e rules.Entry) { g.entries[g.index[e.Endpoint]] = e }
--- a/lab/rig/judge.go
+++ b/lab/rig/judge.go
@@ -56,7 +56,7 @@
 	messages := r.join()
 	for _, f := range r.w.falls {
 		if f.Broken {
-			breaks = append(breaks, Break{Rule: judge.Overrun.String(), At: f.At, Sender: -1, Text: f.String()})
+			breaks = append(breaks, Break{Rule: judge.RecoveryOverload.String(), At: f.At, Sender: -1, Text: f.String()})
 		}
 	}
 	for id, m := range messages {
@@ -114,9 +114,9 @@
 	}
 	switch {
 	case end.IsZero() && r.ended.After(due):
-		return []Break{{judge.Lost.String(), due, m.handed.Sender, id, fmt.Sprintf("taken at %s, due %s, never ended; %d calls", stamp(m.handed.Over), stamp(m.handed.Deadline), len(m.calls))}}
+		return []Break{{judge.LostMessage.String(), due, m.handed.Sender, id, fmt.Sprintf("taken at %s, due %s, never ended; %d calls", stamp(m.handed.Over), stamp(m.handed.Deadline), len(m.calls))}}
 	case !end.IsZero() && end.After(due):
-		return []Break{{judge.Lost.String(), end, m.handed.Sender, id, fmt.Sprintf("ended %v after its time", end.Sub(m.handed.Deadline).Round(time.Millisecond))}}
+		return []Break{{judge.LostMessage.String(), end, m.handed.Sender, id, fmt.Sprintf("ended %v after its time", end.Sub(m.handed.Deadline).Round(time.Millisecond))}}
 	}
 	return nil
 }
@@ -150,7 +150,7 @@
 			mayRun := before.Over.IsZero() || before.Over.After(c.At) || before.Outcome != "refused"
 			late := c.At.Sub(before.At) > class.Window.D()+limitSlack
 			if mayRun && (class.Effect == "once" || class.Effect == "keyed" && late) {
-				return []Break{{judge.Doubled.String(), c.At, c.Sender, id, fmt.Sprintf("called again %v after a call that may have run (%s)", c.At.Sub(before.At).Round(time.Millisecond), before.Outcome)}}
+				return []Break{{judge.DoubleEffect.String(), c.At, c.Sender, id, fmt.Sprintf("called again %v after a call that may have run (%s)", c.At.Sub(before.At).Round(time.Millisecond), before.Outcome)}}
 			}
 		}
 	}
@@ -163,7 +163,7 @@
 		if h.Status != 0 || h.TimedOut || !h.Written || r.killedBetween(h.Sender, h.Begun, h.Over) {
 			continue
 		}
-		breaks = append(breaks, Break{judge.Lost.String(), h.Over, h.Sender, h.ID, "read, and its connection ended with no answer"})
+		breaks = append(breaks, Break{judge.LostMessage.String(), h.Over, h.Sender, h.ID, "read, and its connection ended with no answer"})
 	}
 	return breaks
 }
@@ -180,7 +180,7 @@
 	grace := r.s.Rules.DrainGrace.D() + limitSlack
 	for _, c := range r.w.calls {
 		if told, yes := r.w.drained[c.Endpoint]; yes && c.At.After(told.Add(grace)) {
-			breaks = append(breaks, Break{judge.Drained.String(), c.At, c.Sender, c.IDs[0], fmt.Sprintf("sent to endpoint %d %v after it was told of", c.Endpoint, c.At.Sub(told))})
+			breaks = append(breaks, Break{judge.DrainIgnored.String(), c.At, c.Sender, c.IDs[0], fmt.Sprintf("sent to endpoint %d %v after it was told of", c.Endpoint, c.At.Sub(told))})
 		}
 	}
 	return breaks
@@ -204,7 +204,7 @@
 			continue
 		}
 		if !r.killedBetween(c.Sender, w.Over, c.At) {
-			breaks = append(breaks, Break{judge.Hasty.String(), c.At, c.Sender, c.IDs[0], fmt.Sprintf("sent %v into a wait of %d ms", c.At.Sub(w.Over), w.Wait)})
+			breaks = append(breaks, Break{judge.RetryAfterIgnored.String(), c.At, c.Sender, c.IDs[0], fmt.Sprintf("sent %v into a wait of %d ms", c.At.Sub(w.Over), w.Wait)})
 		}
 	}
 	return breaks
--- a/lab/rig/watch.go
+++ b/lab/rig/watch.go
@@ -101,9 +101,9 @@
 		return
 	}
 	delete(w.out, c)
-	one.Over, one.what, one.silent, one.Wait = time.Now(), o.What, o.Silent, o.Wait.Milliseconds()
+	one.Over, one.what, one.silent, one.Wait = time.Now(), o.Result, o.NoAnswer, o.RetryAfter.Milliseconds()
 	one.Outcome = outcomeName(o)
-	if o.What != rules.OK {
+	if o.Result != rules.OK {
 		w.learn(sender, ep, one)
 	}
 }
@@ -199,13 +199,13 @@
 
 func outcomeName(o model.Outcome) string {
 	switch {
-	case o.Silent:
+	case o.NoAnswer:
 		return "served, answer lost"
-	case o.What == rules.OK:
+	case o.Result == rules.OK:
 		return "served"
-	case o.What == rules.Errored:
+	case o.Result == rules.Errored:
 		return "error"
-	case o.What == rules.Refused:
+	case o.Result == rules.Refused:
 		return "refused"
 	}
 	return "reset"
--- a/lab/scale/plan.go
+++ b/lab/scale/plan.go
@@ -113,14 +113,14 @@
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
 		e := &strict.Errors[0]
 		line, _ := e.Position()
-		return scenario.Fault{File: name, Line: line, Key: strings.Join(e.Key(), "."), Msg: "unknown key"}
+		return scenario.Problem{File: name, Line: line, Key: strings.Join(e.Key(), "."), Msg: "unknown key"}
 	}
 	var one *toml.DecodeError
 	if errors.As(err, &one) {
 		line, _ := one.Position()
-		return scenario.Fault{File: name, Line: line, Key: strings.Join(one.Key(), "."), Msg: strings.TrimPrefix(one.Error(), "toml: ")}
+		return scenario.Problem{File: name, Line: line, Key: strings.Join(one.Key(), "."), Msg: strings.TrimPrefix(one.Error(), "toml: ")}
 	}
-	return scenario.Fault{File: name, Msg: strings.ReplaceAll(err.Error(), "\n", " ")}
+	return scenario.Problem{File: name, Msg: strings.ReplaceAll(err.Error(), "\n", " ")}
 }
 
 // points are the values of an axis; nil if the plan does not play it.
--- a/lab/scenario/check.go
+++ b/lab/scenario/check.go
@@ -12,10 +12,10 @@
 )
 
 // checker collects faults.
-type checker struct{ faults Faults }
+type checker struct{ faults Problems }
 
 func (c *checker) add(key, format string, args ...any) {
-	c.faults = append(c.faults, Fault{Key: key, Msg: fmt.Sprintf(format, args...)})
+	c.faults = append(c.faults, Problem{Key: key, Msg: fmt.Sprintf(format, args...)})
 }
 
 // within checks a number's range; NaN is in none.
@@ -48,7 +48,7 @@
 	hour   = 3600 * second
 )
 
-func (c *checker) times(key string, t Times) {
+func (c *checker) times(key string, t Distribution) {
 	switch t.Dist {
 	case random.Constant:
 		c.span(key+".mean", t.Mean, 0, hour)
@@ -70,7 +70,7 @@
 	}
 }
 
-func (c *checker) histogram(key string, t Times) {
+func (c *checker) histogram(key string, t Distribution) {
 	if len(t.Bounds) == 0 || len(t.Bounds) != len(t.Weights) {
 		c.add(key, "%d bounds and %d weights: a histogram needs as many of each, one at least", len(t.Bounds), len(t.Weights))
 		return
@@ -91,7 +91,7 @@
 }
 
 // check names all that is impossible.
-func (s *Scenario) check() Faults {
+func (s *Scenario) check() Problems {
 	c := &checker{}
 	if s.Version != Version {
 		c.add("version", "%d is not read by this program: expected %d", s.Version, Version)
@@ -289,17 +289,17 @@
 }
 
 // TroubleForm is what the format knows of a kind of trouble.
-type TroubleForm struct {
+type troubleKind struct {
 	About string // what it does, what size and extra mean
 	check func(Trouble) string
 }
 
-var troubles = map[string]TroubleForm{}
+var troubles = map[string]troubleKind{}
 
 // RegisterTrouble makes a kind of trouble known to the format; check returns what is wrong with one, or "". It is called
 // by the file that implements the kind, before any scenario is read.
 func RegisterTrouble(kind, about string, check func(Trouble) string) {
-	troubles[kind] = TroubleForm{About: about, check: check}
+	troubles[kind] = troubleKind{About: about, check: check}
 }
 
 // TroubleKinds lists the kinds of trouble, sorted.
--- a/lab/scenario/read.go
+++ b/lab/scenario/read.go
@@ -19,14 +19,14 @@
 )
 
 // Fault is one thing wrong with a file.
-type Fault struct {
+type Problem struct {
 	File string
 	Line int    // 0 if unknown
 	Key  string // dotted, array tables by number from 0
 	Msg  string // what was found and what was expected
 }
 
-func (f Fault) Error() string {
+func (f Problem) Error() string {
 	where := f.File
 	if f.Line > 0 {
 		where += ":" + strconv.Itoa(f.Line)
@@ -38,9 +38,9 @@
 }
 
 // Faults are all the things wrong with a file, in the file's order.
-type Faults []Fault
+type Problems []Problem
 
-func (fs Faults) Error() string {
+func (fs Problems) Error() string {
 	lines := make([]string, len(fs))
 	for i, f := range fs {
 		lines[i] = f.Error()
@@ -79,16 +79,16 @@
 }
 
 // Text writes a scenario as a file that Parse reads back to the same.
-func (s *Scenario) Text() ([]byte, error) { return toml.Marshal(s) }
+func (s *Scenario) Encode() ([]byte, error) { return toml.Marshal(s) }
 
 func decodeFaults(name string, err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) {
-		var fs Faults
+		var fs Problems
 		for i := range strict.Errors {
 			e := &strict.Errors[i]
 			line, _ := e.Position()
-			fs = append(fs, Fault{File: name, Line: line, Key: strings.Join(e.Key(), "."),
+			fs = append(fs, Problem{File: name, Line: line, Key: strings.Join(e.Key(), "."),
 				Msg: "unknown key; 'eiderlab scenario keys' lists those there are"})
 		}
 		return fs
@@ -96,10 +96,10 @@
 	var one *toml.DecodeError
 	if errors.As(err, &one) {
 		line, _ := one.Position()
-		return Faults{{File: name, Line: line, Key: strings.Join(one.Key(), "."),
+		return Problems{{File: name, Line: line, Key: strings.Join(one.Key(), "."),
 			Msg: strings.TrimPrefix(one.Error(), "toml: ")}}
 	}
-	return Faults{{File: name, Msg: err.Error()}}
+	return Problems{{File: name, Msg: err.Error()}}
 }
 
 // setDefaults sets the fields that have a default, of a struct and of those within it.
@@ -178,7 +178,7 @@
 
 // fillTimes gives distributions that were left out their defaults.
 func (s *Scenario) fillTimes(lines positions) {
-	or := func(t *Times, key string, mean Duration) {
+	or := func(t *Distribution, key string, mean Duration) {
 		if lines[key] == 0 {
 			t.Mean = mean
 		}
@@ -201,25 +201,25 @@
 type positions map[string]int
 
 // bareNumbers finds durations written without a unit, which the decoder would take for nanoseconds.
-func bareNumbers(lines positions) Faults {
+func bareNumbers(lines positions) Problems {
 	durations := map[string]bool{}
 	for _, k := range Keys() {
 		switch k.Type {
 		case "duration":
 			durations[k.Name] = true
 		case "distribution":
-			for _, part := range TimesKeys() {
+			for _, part := range DistributionKeys() {
 				if part.Type == "duration" {
 					durations[k.Name+"."+part.Name] = true
 				}
 			}
 		}
 	}
-	var fs Faults
+	var fs Problems
 	for _, name := range slices.Sorted(maps.Keys(lines)) {
 		key, bare := strings.CutSuffix(name, "#")
 		if bare && durations[anyItem(key)] {
-			fs = append(fs, Fault{Key: key, Msg: "a bare number: expected a number with a unit, such as \"250ms\""})
+			fs = append(fs, Problem{Key: key, Msg: "a bare number: expected a number with a unit, such as \"250ms\""})
 		}
 	}
 	return fs
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -36,7 +36,7 @@
 func (d Duration) D() time.Duration { return time.Duration(d) }
 
 // Times is a distribution of durations in a file.
-type Times struct {
+type Distribution struct {
 	Dist    random.Shape `toml:"dist" doc:"constant, exponential, lognormal, uniform or histogram" default:"constant"`
 	Mean    Duration     `toml:"mean,omitempty" doc:"mean, for constant, exponential and lognormal"`
 	CV      float64      `toml:"cv,omitempty" doc:"standard deviation over mean, for lognormal (above 0, at most 20)"`
@@ -47,22 +47,22 @@
 }
 
 // Random is the distribution as package random draws it.
-func (t Times) Random() random.Times {
+func (t Distribution) Random() random.Distribution {
 	switch t.Dist {
 	case random.Exponential:
-		return random.Exp(t.Mean.D())
+		return random.NewExponential(t.Mean.D())
 	case random.Lognormal:
-		return random.Log(t.Mean.D(), t.CV)
+		return random.NewLognormal(t.Mean.D(), t.CV)
 	case random.Uniform:
-		return random.Between(t.Low.D(), t.High.D())
+		return random.NewUniform(t.Low.D(), t.High.D())
 	case random.Histogram:
 		var bounds []time.Duration
 		for _, b := range t.Bounds {
 			bounds = append(bounds, b.D())
 		}
-		return random.Steps(bounds, t.Weights)
+		return random.NewHistogram(bounds, t.Weights)
 	}
-	return random.Fixed(t.Mean.D())
+	return random.NewConstant(t.Mean.D())
 }
 
 // Scenario is one day to play.
@@ -109,16 +109,16 @@
 
 // Network describes the way between senders and receivers.
 type Network struct {
-	OneWay     Times    `toml:"one_way" doc:"time from one side to the other"`
-	CrossZone  Duration `toml:"cross_zone" doc:"added to each way between zones" default:"0s"`
-	Handshakes float64  `toml:"handshakes" doc:"round trips that opening a connection takes" default:"1"`
+	OneWay     Distribution `toml:"one_way" doc:"time from one side to the other"`
+	CrossZone  Duration     `toml:"cross_zone" doc:"added to each way between zones" default:"0s"`
+	Handshakes float64      `toml:"handshakes" doc:"round trips that opening a connection takes" default:"1"`
 }
 
 // Registry describes how senders hear of endpoints.
 type Registry struct {
-	Mode        string   `toml:"mode" doc:"push: changes come unasked; ask: only after a sender watches" default:"push"`
-	Lag         Times    `toml:"lag" doc:"time from a change to when a sender hears of it, drawn for each sender"`
-	HealthEvery Duration `toml:"health_every" doc:"the registry calls each endpoint's health this often and lists one that failed twice as draining; 0: never" default:"0s"`
+	Mode        string       `toml:"mode" doc:"push: changes come unasked; ask: only after a sender watches" default:"push"`
+	Lag         Distribution `toml:"lag" doc:"time from a change to when a sender hears of it, drawn for each sender"`
+	HealthEvery Duration     `toml:"health_every" doc:"the registry calls each endpoint's health this often and lists one that failed twice as draining; 0: never" default:"0s"`
 }
 
 // Rules holds the figures of the six rules.
@@ -137,17 +137,17 @@
 
 // Traffic describes what clients hand in.
 type Traffic struct {
-	Rate        float64 `toml:"rate" doc:"first tries a second, over all senders; 0: no traffic" default:"50"`
-	Arrivals    string  `toml:"arrivals" doc:"poisson, or even (equal gaps)" default:"poisson"`
-	Zipf        float64 `toml:"zipf" doc:"how unevenly destinations get messages: weights fall with rank to this power" default:"0.9"`
-	Clumps      float64 `toml:"clumps" doc:"share of messages that come in clumps for one destination (0 to 0.95)" default:"0"`
-	ClumpSize   int     `toml:"clump_size" doc:"messages in a clump" default:"20"`
-	Keys        int     `toml:"keys" doc:"order keys in use at each destination" default:"10"`
-	Retries     int     `toml:"retries" doc:"times that a client hands a refused message in again" default:"2"`
-	RetryWait   Times   `toml:"retry_wait" doc:"wait before that, where the refusal gave no advice"`
-	Follows     float64 `toml:"follows" doc:"share of clients that follow advice" default:"1"`
-	Rescue      Times   `toml:"rescue" doc:"time until what a dead sender held comes to a live one"`
-	MaxMessages int     `toml:"max_messages" doc:"clients stop after this many first tries; 0: no such bound" default:"0"`
+	Rate        float64      `toml:"rate" doc:"first tries a second, over all senders; 0: no traffic" default:"50"`
+	Arrivals    string       `toml:"arrivals" doc:"poisson, or even (equal gaps)" default:"poisson"`
+	Zipf        float64      `toml:"zipf" doc:"how unevenly destinations get messages: weights fall with rank to this power" default:"0.9"`
+	Clumps      float64      `toml:"clumps" doc:"share of messages that come in clumps for one destination (0 to 0.95)" default:"0"`
+	ClumpSize   int          `toml:"clump_size" doc:"messages in a clump" default:"20"`
+	Keys        int          `toml:"keys" doc:"order keys in use at each destination" default:"10"`
+	Retries     int          `toml:"retries" doc:"times that a client hands a refused message in again" default:"2"`
+	RetryWait   Distribution `toml:"retry_wait" doc:"wait before that, where the refusal gave no advice"`
+	Follows     float64      `toml:"follows" doc:"share of clients that follow advice" default:"1"`
+	Rescue      Distribution `toml:"rescue" doc:"time until what a dead sender held comes to a live one"`
+	MaxMessages int          `toml:"max_messages" doc:"clients stop after this many first tries; 0: no such bound" default:"0"`
 }
 
 // Class is one class of message.
@@ -181,21 +181,21 @@
 
 // Kind is one kind of destination.
 type Kind struct {
-	Name         string  `toml:"name" doc:"name, used in reports and by troubles"`
-	Destinations int     `toml:"destinations" doc:"how many destinations" default:"10"`
-	Endpoints    []int   `toml:"endpoints" doc:"least and most endpoints of a destination, drawn evenly" default:"[1, 1]"`
-	Weight       float64 `toml:"weight" doc:"traffic of one of its destinations, relative to other kinds'" default:"1"`
-	RoutesApart  bool    `toml:"routes_apart" doc:"each endpoint has a limit, capacity and outages of its own" default:"false"`
-	Batch        int     `toml:"batch" doc:"messages in one call at most" default:"1"`
-	BatchCost    float64 `toml:"batch_cost" doc:"service time of each further message of a call, as a share of the first's" default:"0.1"`
-	Servers      int     `toml:"servers" doc:"calls that an endpoint serves at once" default:"4"`
-	Queue        int     `toml:"queue" doc:"calls that wait at an endpoint at most" default:"50"`
-	Service      Times   `toml:"service" doc:"service time of a call"`
-	Spread       float64 `toml:"spread" doc:"how much destinations differ in pace: service times are multiplied by a lognormal factor with this coefficient of variation" default:"0"`
-	Connections  int     `toml:"connections" doc:"connections that an endpoint takes, idle ones counted; 0: no bound" default:"0"`
-	Drops        string  `toml:"drops" doc:"what of a call that was called off is dropped: none, queued or all" default:"queued"`
-	Reports      bool    `toml:"reports" doc:"answers tell what is left of the limit, and the limit" default:"false"`
-	Limit        Limit   `toml:"limit" doc:"the limit"`
+	Name         string       `toml:"name" doc:"name, used in reports and by troubles"`
+	Destinations int          `toml:"destinations" doc:"how many destinations" default:"10"`
+	Endpoints    []int        `toml:"endpoints" doc:"least and most endpoints of a destination, drawn evenly" default:"[1, 1]"`
+	Weight       float64      `toml:"weight" doc:"traffic of one of its destinations, relative to other kinds'" default:"1"`
+	RoutesApart  bool         `toml:"routes_apart" doc:"each endpoint has a limit, capacity and outages of its own" default:"false"`
+	Batch        int          `toml:"batch" doc:"messages in one call at most" default:"1"`
+	BatchCost    float64      `toml:"batch_cost" doc:"service time of each further message of a call, as a share of the first's" default:"0.1"`
+	Servers      int          `toml:"servers" doc:"calls that an endpoint serves at once" default:"4"`
+	Queue        int          `toml:"queue" doc:"calls that wait at an endpoint at most" default:"50"`
+	Service      Distribution `toml:"service" doc:"service time of a call"`
+	Spread       float64      `toml:"spread" doc:"how much destinations differ in pace: service times are multiplied by a lognormal factor with this coefficient of variation" default:"0"`
+	Connections  int          `toml:"connections" doc:"connections that an endpoint takes, idle ones counted; 0: no bound" default:"0"`
+	Drops        string       `toml:"drops" doc:"what of a call that was called off is dropped: none, queued or all" default:"queued"`
+	Reports      bool         `toml:"reports" doc:"answers tell what is left of the limit, and the limit" default:"false"`
+	Limit        Limit        `toml:"limit" doc:"the limit"`
 }
 
 // Tenant is a party that hands in messages.
@@ -228,7 +228,7 @@
 }
 
 // Destinations is how many destinations the scenario has.
-func (s *Scenario) Destinations() int {
+func (s *Scenario) DestinationCount() int {
 	n := 0
 	for _, k := range s.Kinds {
 		n += k.Destinations
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -35,7 +35,7 @@
 		!cmp.Equal(s.Kinds[0].Endpoints, []int{1, 1}) || s.Traffic.RetryWait.Mean.D().Seconds() != 0.5 {
 		t.Errorf("defaults are not those documented: %+v", s)
 	}
-	text, err := s.Text()
+	text, err := s.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,7 +85,7 @@
 func TestAllFaultsComeAtOnce(t *testing.T) {
 	text := strings.Replace(strings.Replace(good, "destinations = 3", "destinations = 0", 1), "rate = 5.0", "rate = -1.0", 1)
 	_, err := scenario.Parse("file", []byte(text))
-	if fs, ok := err.(scenario.Faults); !ok || len(fs) != 2 {
+	if fs, ok := err.(scenario.Problems); !ok || len(fs) != 2 {
 		t.Errorf("got %v, want two faults", err)
 	}
 }
@@ -147,7 +147,7 @@
 		if err != nil {
 			return
 		}
-		out, err := s.Text()
+		out, err := s.Encode()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/lab/scenario/set.go
+++ b/lab/scenario/set.go
@@ -15,7 +15,7 @@
 // Set returns a copy of the scenario with one key changed. The key is dotted; an item of a list is named by its number
 // from 0, or by its name ("kind.partners.servers"). The value is written as in a file; a bare word counts as a string.
 func (s *Scenario) Set(key, value string) (*Scenario, error) {
-	text, err := s.Text()
+	text, err := s.Encode()
 	if err != nil {
 		return nil, err
 	}
@@ -31,7 +31,7 @@
 		return nil, err
 	}
 	out, err := Parse("--set "+key+"="+value, text)
-	if fs, ok := err.(Faults); ok { // the lines are those of a text that nobody sees
+	if fs, ok := err.(Problems); ok { // the lines are those of a text that nobody sees
 		for i := range fs {
 			fs[i].Line = 0
 		}
@@ -97,12 +97,12 @@
 	for i := range t.NumField() {
 		f := t.Field(i)
 		k := Key{Name: prefix + tomlName(f), Type: typeName(f.Type), Default: f.Tag.Get("default"), Doc: f.Tag.Get("doc")}
-		if k.Default == "" && (f.Type.Kind() == reflect.String || f.Type == reflect.TypeFor[Times]()) {
+		if k.Default == "" && (f.Type.Kind() == reflect.String || f.Type == reflect.TypeFor[Distribution]()) {
 			k.Default = "-"
 		}
 		keys = append(keys, k)
 		switch {
-		case f.Type == reflect.TypeFor[Times](): // described once, under its own heading
+		case f.Type == reflect.TypeFor[Distribution](): // described once, under its own heading
 		case f.Type.Kind() == reflect.Struct:
 			keys = append(keys, keysOf(k.Name+".", f.Type)...)
 		case f.Type.Kind() == reflect.Slice && f.Type.Elem().Kind() == reflect.Struct:
@@ -113,13 +113,13 @@
 }
 
 // TimesKeys lists the keys of a distribution.
-func TimesKeys() []Key { return keysOf("", reflect.TypeFor[Times]()) }
+func DistributionKeys() []Key { return keysOf("", reflect.TypeFor[Distribution]()) }
 
 func typeName(t reflect.Type) string {
 	switch {
 	case t == reflect.TypeFor[Duration]():
 		return "duration"
-	case t == reflect.TypeFor[Times]():
+	case t == reflect.TypeFor[Distribution]():
 		return "distribution"
 	case t.Kind() == reflect.Struct:
 		return "table"
--- a/lab/sender/calls.go
+++ b/lab/sender/calls.go
@@ -53,7 +53,7 @@
 	if k != nil {
 		num = k.attempts
 	}
-	h.w.Judge.Called(now, h.Number, a.ID, num, a.Endpoint)
+	h.w.Judge.AttemptStarted(now, h.Number, a.ID, num, a.Endpoint)
 	if k == nil {
 		return fresh
 	}
@@ -69,7 +69,7 @@
 	}
 	var c *call
 	for _, open := range fresh {
-		if open.pool.ep == ep && len(open.flights) < ep.Unit.Spec.Batch {
+		if open.pool.ep == ep && len(open.flights) < ep.Unit.Spec.MaxBatch {
 			c = open
 		}
 	}
@@ -114,7 +114,7 @@
 func (h *Host) dropPools() {
 	now := h.w.Queue.Now()
 	for id, p := range h.calls {
-		if p.Expire(now); p.out == 0 && p.Empty() {
+		if p.CloseExpired(now); p.out == 0 && p.Empty() {
 			delete(h.calls, id)
 		}
 	}
@@ -141,12 +141,12 @@
 // giveUp ends an attempt from this side. A call with no attempt left gives its slot and its connection back.
 func (h *Host) giveUp(f *flight, why rules.Outcome) {
 	c := f.call
-	h.finish(f, model.Outcome{What: why})
+	h.finish(f, model.Outcome{Result: why})
 	if c.open > 0 {
 		return
 	}
-	c.Gone = true
-	c.pool.ep.CalledOff(&c.Call)
+	c.Abandoned = true
+	c.pool.ep.CallAbandoned(&c.Call)
 	if c.conn != nil {
 		c.conn.Close()
 	}
@@ -169,11 +169,11 @@
 		return
 	}
 	c := f.call
-	c.Gone = true
+	c.Abandoned = true
 	for _, f := range c.flights {
 		if !f.done {
 			f.h.recalled++
-			h.finish(f, model.Outcome{What: rules.NotSent, Recalled: true})
+			h.finish(f, model.Outcome{Result: rules.NotSent, Recalled: true})
 		}
 	}
 }
@@ -183,23 +183,23 @@
 	now, ep := h.w.Queue.Now(), c.pool.ep
 	epoch := h.epoch
 	c.Done = func(o model.Outcome) {
-		if o.Silent {
+		if o.NoAnswer {
 			return
 		}
-		h.line.After(h.w.Network.Cross(ep.Zone, h.Zone), func() {
+		h.line.After(h.w.Network.OneWayDelay(ep.Zone, h.Zone), func() {
 			if h.epoch == epoch {
 				h.answer(c, o)
 			}
 		})
 	}
-	if c.conn = c.pool.Take(now); c.conn != nil {
-		h.w.Books.Called(now, &c.Call, ep.Unit, false)
+	if c.conn = c.pool.Get(now); c.conn != nil {
+		h.w.Recorder.CallSent(now, &c.Call, ep.Unit, false)
 		h.deliver(c)
 		return
 	}
-	h.w.Books.Called(now, &c.Call, ep.Unit, true)
-	h.line.After(h.w.Network.Handshake(h.Zone, ep.Zone), func() {
-		if h.epoch != epoch || c.Gone {
+	h.w.Recorder.CallSent(now, &c.Call, ep.Unit, true)
+	h.line.After(h.w.Network.HandshakeDelay(h.Zone, ep.Zone), func() {
+		if h.epoch != epoch || c.Abandoned {
 			return
 		}
 		conn, full, silent := ep.Connect(&c.pool.Pool, h.w.Queue.Now())
@@ -207,11 +207,11 @@
 		case silent:
 			h.line.At(max(now+h.Settings.ConnectTimeout, h.w.Queue.Now()), func() {
 				if h.epoch == epoch {
-					h.answer(c, model.Outcome{What: rules.ConnectError})
+					h.answer(c, model.Outcome{Result: rules.ConnectError})
 				}
 			})
 		case conn == nil:
-			h.answer(c, model.Outcome{What: rules.ConnectError, NoPlace: full})
+			h.answer(c, model.Outcome{Result: rules.ConnectError, ConnectionLimitReached: full})
 		default:
 			c.conn = conn
 			h.deliver(c)
@@ -221,7 +221,7 @@
 
 func (h *Host) deliver(c *call) {
 	ep, conn := c.pool.ep, c.conn
-	h.line.After(h.w.Network.Cross(h.Zone, ep.Zone), func() { ep.Take(&c.Call, conn) })
+	h.line.After(h.w.Network.OneWayDelay(h.Zone, ep.Zone), func() { ep.Receive(&c.Call, conn) })
 }
 
 // answer brings a call's outcome to all its attempts that have none yet.
@@ -237,7 +237,7 @@
 	if c.conn == nil {
 		return
 	}
-	if o.What == rules.Reset {
+	if o.Result == rules.Reset {
 		c.conn.Close()
 		return
 	}
@@ -254,7 +254,7 @@
 		delete(h.live, c)
 	}
 	f.h.out = slices.DeleteFunc(f.h.out, func(x *flight) bool { return x == f })
-	h.report(f, c.pool.ep.ID, rules.AttemptEnded{Outcome: o.What, Elapsed: h.w.Queue.Now() - c.Sent, RetryAfter: o.Wait, ConnectionLimitReached: o.NoPlace, Recalled: o.Recalled, Report: o.Report})
+	h.report(f, c.pool.ep.ID, rules.AttemptEnded{Outcome: o.Result, Elapsed: h.w.Queue.Now() - c.Sent, RetryAfter: o.RetryAfter, ConnectionLimitReached: o.ConnectionLimitReached, Recalled: o.Recalled, Report: o.Report})
 }
 
 func (h *Host) report(f *flight, ep rules.EndpointID, e rules.AttemptEnded) {
@@ -269,8 +269,8 @@
 			k.mayRun, k.ran, k.ranAt = true, f.call.Sent, ep
 		}
 	}
-	h.w.Judge.Told(now, h.Number, k.m.ID, f.num, ep, e.Outcome, e.RetryAfter)
-	h.w.Books.Outcome(now, h.Number, e.Outcome)
+	h.w.Judge.AttemptEnded(now, h.Number, k.m.ID, f.num, ep, e.Outcome, e.RetryAfter)
+	h.w.Recorder.AttemptEnded(now, h.Number, e.Outcome)
 	h.trace(k.m.ID, "attempt %d at endpoint %d: %v after %v%s", f.num, ep, OutcomeName(e.Outcome), e.Elapsed.Round(time.Millisecond), waitText(e.RetryAfter))
 	if e.Outcome == rules.OK && !k.over && now <= k.m.Deadline {
 		h.over(k, model.Served, 0)
--- a/lab/sender/sender.go
+++ b/lab/sender/sender.go
@@ -29,61 +29,61 @@
 type Factory func(set rules.Settings) Policy
 
 // Surroundings are the parts of the world that a sender meets.
-type Surroundings struct {
-	Scenario  *scenario.Scenario
-	Queue     *clock.Queue
-	Network   *network.Network
-	Registry  *registry.Registry
-	Judge     *judge.Judge
-	Endpoints map[rules.EndpointID]*receiver.Endpoint
-	Factory   Factory
-	Due       func(h *Host, at time.Duration) // asks for a step at a tick
-	Books     Books
-	Clients   Clients
-	Trace     func(format string, args ...any) // nil: none
+type Environment struct {
+	Scenario    *scenario.Scenario
+	Queue       *clock.Queue
+	Network     *network.Network
+	Registry    *registry.Registry
+	Judge       *judge.Judge
+	Endpoints   map[rules.EndpointID]*receiver.Endpoint
+	Factory     Factory
+	RequestStep func(h *Host, at time.Duration) // asks for a step at a tick
+	Recorder    Recorder
+	Clients     Clients
+	Trace       func(format string, args ...any) // nil: none
 }
 
 // Books counts what a sender does.
-type Books interface {
-	Called(now time.Duration, c *model.Call, unit *receiver.Unit, opened bool)
-	Outcome(now time.Duration, sender int, o rules.Outcome)
-	Ended(now time.Duration, sender int, m *model.Message, end model.End)
+type Recorder interface {
+	CallSent(now time.Duration, c *model.Call, unit *receiver.Unit, opened bool)
+	AttemptEnded(now time.Duration, sender int, o rules.Outcome)
+	MessageEnded(now time.Duration, sender int, m *model.Message, end model.End)
 }
 
 // Clients hear how their messages ended.
 type Clients interface {
-	Ended(m *model.Message, end model.End, advice time.Duration)
+	MessageEnded(m *model.Message, end model.End, advice time.Duration)
 }
 
 // Host is one sender.
 type Host struct {
-	Number   int
-	Zone     int
-	Up       bool
-	Settings rules.Settings
-	Faults   map[string]int
-	w        *Surroundings
-	policy   Policy
-	epoch    int // of the process; what an earlier one had scheduled means nothing
-	inbox    []rules.Event
-	lastStep time.Duration
-	stepping bool // a step is due
-	held     map[rules.MessageID]*holding
-	calls    map[rules.EndpointID]*pool
-	live     map[*call]bool // out
-	flights  map[flightKey]*flight
-	busy     int // slots taken
-	line     *clock.Line
-	timers   *clock.Line
-	actions  []rules.Action
+	Number         int
+	Zone           int
+	Up             bool
+	Settings       rules.Settings
+	InvalidActions map[string]int
+	w              *Environment
+	policy         Policy
+	epoch          int // of the process; what an earlier one had scheduled means nothing
+	inbox          []rules.Event
+	lastStep       time.Duration
+	stepping       bool // a step is due
+	held           map[rules.MessageID]*holding
+	calls          map[rules.EndpointID]*pool
+	live           map[*call]bool // out
+	flights        map[flightKey]*flight
+	busy           int // slots taken
+	line           *clock.Scheduler
+	timers         *clock.Scheduler
+	actions        []rules.Action
 
 	transitions []rules.Transition // of the last step
 
-	pools   int
-	kept    []*holding                  // what outlasts the process, while it is down
-	outages map[rules.EndpointID]outage // likewise: endpoints taken for out
-	Peak    int                         // most messages held
-	taken   int
+	pools    int
+	kept     []*holding                  // what outlasts the process, while it is down
+	outages  map[rules.EndpointID]outage // likewise: endpoints taken for out
+	PeakHeld int                         // most messages held
+	taken    int
 }
 
 // holding is a message that is held, or has ended with attempts still out.
@@ -101,9 +101,9 @@
 }
 
 // New returns a sender that is down.
-func New(number, zone int, set rules.Settings, w *Surroundings) *Host {
-	return &Host{outages: map[rules.EndpointID]outage{}, Number: number, Zone: zone, Settings: set, w: w, Faults: map[string]int{},
-		line: w.Queue.Line(clock.Answer, number), timers: w.Queue.Line(clock.Timer, number)}
+func New(number, zone int, set rules.Settings, w *Environment) *Host {
+	return &Host{outages: map[rules.EndpointID]outage{}, Number: number, Zone: zone, Settings: set, w: w, InvalidActions: map[string]int{},
+		line: w.Queue.NewScheduler(clock.Answer, number), timers: w.Queue.NewScheduler(clock.Timer, number)}
 }
 
 // Start begins a process. What an earlier one kept comes back with what is known of its attempts.
@@ -115,7 +115,7 @@
 	h.inbox, h.stepping, h.busy = nil, false, 0
 	h.held, h.calls = map[rules.MessageID]*holding{}, map[rules.EndpointID]*pool{}
 	h.live, h.flights = map[*call]bool{}, map[flightKey]*flight{}
-	h.tell(h.hear(h.w.Registry.Start(h.Number)))
+	h.tell(h.hear(h.w.Registry.SenderStarted(h.Number)))
 	now := h.w.Queue.Now()
 	for _, id := range slices.Sorted(maps.Keys(h.outages)) {
 		h.tell(rules.RememberedOutage{Endpoint: id, Age: now - h.outages[id].since, Rate: h.outages[id].rate})
@@ -138,12 +138,12 @@
 
 // hear lets the judge know what the sender is told of the list.
 func (h *Host) hear(e rules.ListUpdate) rules.ListUpdate {
-	h.w.Judge.Listed(h.w.Queue.Now(), h.Number, e)
+	h.w.Judge.ListReceived(h.w.Queue.Now(), h.Number, e)
 	return e
 }
 
 // Listed brings news of the list.
-func (h *Host) Listed(e rules.ListUpdate) {
+func (h *Host) UpdateList(e rules.ListUpdate) {
 	if h.Up {
 		h.tell(h.hear(e))
 	}
@@ -161,20 +161,20 @@
 	if at <= h.lastStep && h.lastStep > 0 {
 		at = h.lastStep + tick
 	}
-	h.w.Due(h, at)
+	h.w.RequestStep(h, at)
 }
 
 // Hand offers a message; false tells that there is no room.
-func (h *Host) Hand(m *model.Message) bool {
+func (h *Host) Submit(m *model.Message) bool {
 	if len(h.held) >= h.Settings.MaxHeld {
 		return false
 	}
 	h.taken++
 	k := &holding{m: m, seq: h.taken}
 	h.held[m.ID] = k
-	h.Peak = max(h.Peak, len(h.held))
+	h.PeakHeld = max(h.PeakHeld, len(h.held))
 	now := h.w.Queue.Now()
-	h.w.Judge.Taken(now, h.Number, m)
+	h.w.Judge.MessageAccepted(now, h.Number, m)
 	h.trace(m.ID, "taken by sender %d, destination %d", h.Number, m.Dest)
 	h.tell(h.arrived(k, now))
 	return true
@@ -184,7 +184,7 @@
 func (h *Host) Held() int { return len(h.held) }
 
 // Busy is how many slots are taken.
-func (h *Host) Busy() int { return h.busy }
+func (h *Host) SlotsInUse() int { return h.busy }
 
 // Decide runs the policy's step. It touches nothing but the sender's own, so steps of several senders may run at once.
 func (h *Host) Decide(now time.Duration) {
@@ -242,7 +242,7 @@
 func (silent) Step(time.Duration, []rules.Event) []rules.Action { return nil }
 
 // CarryOut does what the last step asked for.
-func (h *Host) CarryOut() {
+func (h *Host) ExecuteActions() {
 	actions := h.actions
 	h.actions = nil
 	h.traceTransitions()
@@ -282,7 +282,7 @@
 	}
 }
 
-func (h *Host) fault(format string, args ...any) { h.Faults[fmt.Sprintf(format, args...)]++ }
+func (h *Host) fault(format string, args ...any) { h.InvalidActions[fmt.Sprintf(format, args...)]++ }
 
 // traceTransitions tells of the changes of endpoints' states that the last step brought.
 func (h *Host) traceTransitions() {
@@ -319,7 +319,7 @@
 func (h *Host) end(id rules.MessageID, end model.End, advice time.Duration) {
 	k := h.held[id]
 	if k == nil {
-		h.w.Judge.Ended(h.w.Queue.Now(), h.Number, id, end)
+		h.w.Judge.MessageEnded(h.w.Queue.Now(), h.Number, id, end)
 		return
 	}
 	h.over(k, end, advice)
@@ -329,10 +329,10 @@
 	now := h.w.Queue.Now()
 	k.over = true
 	delete(h.held, k.m.ID)
-	h.w.Judge.Ended(now, h.Number, k.m.ID, end)
-	h.w.Books.Ended(now, h.Number, k.m, end)
+	h.w.Judge.MessageEnded(now, h.Number, k.m.ID, end)
+	h.w.Recorder.MessageEnded(now, h.Number, k.m, end)
 	h.trace(k.m.ID, "%v%s", end, adviceText(advice))
-	h.w.Clients.Ended(k.m, end, advice)
+	h.w.Clients.MessageEnded(k.m, end, advice)
 }
 
 func adviceText(d time.Duration) string {
@@ -350,7 +350,7 @@
 	}
 	h.Up, h.policy = false, nil
 	h.epoch++
-	h.w.Judge.Stopped(h.Number, kept)
+	h.w.Judge.SenderStopped(h.Number, kept)
 	var all []*holding
 	for _, k := range h.held {
 		all = append(all, k)
@@ -366,7 +366,7 @@
 		k.out = nil
 	}
 	for c := range h.live { // also those whose messages have ended
-		c.Gone = true
+		c.Abandoned = true
 		if c.conn != nil {
 			c.conn.Close()
 		}
@@ -383,7 +383,7 @@
 		return nil
 	}
 	for _, k := range all {
-		k.m.MayRun = k.mayRun
+		k.m.MayHaveRun = k.mayRun
 		lost = append(lost, k.m)
 	}
 	return lost
--- a/lab/tally/tally.go
+++ b/lab/tally/tally.go
@@ -17,27 +17,27 @@
 
 // Window is one step of the series over time. Counts are of that step; latencies are of messages served in it.
 type Window struct {
-	At       float64 `json:"at_s"`
-	Asked    int     `json:"asked"`
-	Served   int     `json:"served"`
-	Refused  int     `json:"refused"` // by senders
-	Failed   int     `json:"failed"`
-	Turned   int     `json:"turned_away"`
-	Calls    int     `json:"calls"`
-	Limited  int     `json:"limited"` // calls turned away by a limit
-	Full     int     `json:"full"`    // calls turned away otherwise
-	Errors   int     `json:"errors"`  // errors, resets, failed connects
-	TimedOut int     `json:"timed_out"`
-	Held     float64 `json:"held"` // by all senders, the mean over the step
-	P50      float64 `json:"p50_ms"`
-	P99      float64 `json:"p99_ms"`
-	looked   int     // at what is held
+	At               float64 `json:"at_s"`
+	Submitted        int     `json:"asked"`
+	Served           int     `json:"served"`
+	Refused          int     `json:"refused"` // by senders
+	Failed           int     `json:"failed"`
+	TurnedAway       int     `json:"turned_away"`
+	Calls            int     `json:"calls"`
+	RefusedByLimit   int     `json:"limited"` // calls turned away by a limit
+	RefusedOtherwise int     `json:"full"`    // calls turned away otherwise
+	Errors           int     `json:"errors"`  // errors, resets, failed connects
+	TimedOut         int     `json:"timed_out"`
+	Held             float64 `json:"held"` // by all senders, the mean over the step
+	P50              float64 `json:"p50_ms"`
+	P99              float64 `json:"p99_ms"`
+	looked           int     // at what is held
 }
 
 // Lane is one of the busiest destinations over time: what it was sent, and what it took.
-type Lane struct {
+type DestinationSeries struct {
 	Dest     int     `json:"destination"`
-	Rate     float64 `json:"rate"` // calls a second that it takes at its best
+	Capacity float64 `json:"rate"` // calls a second that it takes at its best
 	Calls    []int   `json:"calls"`
 	Refusals []int   `json:"refusals"`
 }
@@ -53,30 +53,30 @@
 	Worst      float64 `json:"worst"`       // the same in the worst ten seconds
 	WorstClass float64 `json:"worst_class"` // the same of the worst-served class
 
-	Asked   int `json:"asked"` // first tries
-	Served  int `json:"served"`
-	InAim   int `json:"in_aim"`
-	Refused int `json:"refused"` // answers by senders, later tries counted
-	Failed  int `json:"failed"`
-	Turned  int `json:"turned_away"` // no room
-	Again   int `json:"again"`       // later tries handed in
-
-	Calls       int `json:"calls"`
-	Attempts    int `json:"attempts"`
-	Opened      int `json:"connections_opened"`
-	Limited     int `json:"calls_limited"`
-	Full        int `json:"calls_full"`
-	Errors      int `json:"errors"`
-	Resets      int `json:"resets"`
-	NoConnect   int `json:"connects_failed"`
-	TimedOut    int `json:"timed_out"`
-	Cancelled   int `json:"cancelled"`
-	NotSent     int `json:"not_sent"`
-	Ran         int `json:"ran"`          // messages that took effect, repeats counted
-	DoubledOnce int `json:"doubled_once"` // effects of what must not be repeated beyond the first
-	Dropped     int `json:"repeats_dropped"`
-	Outages     int `json:"outages"`
-	Fallen      int `json:"units_fallen"`
+	Submitted   int `json:"asked"` // first tries
+	Served      int `json:"served"`
+	InAim       int `json:"in_aim"`
+	Refused     int `json:"refused"` // answers by senders, later tries counted
+	Failed      int `json:"failed"`
+	TurnedAway  int `json:"turned_away"` // no room
+	Resubmitted int `json:"again"`       // later tries handed in
+
+	Calls             int `json:"calls"`
+	Attempts          int `json:"attempts"`
+	ConnectionsOpened int `json:"connections_opened"`
+	RefusedByLimit    int `json:"calls_limited"`
+	RefusedOtherwise  int `json:"calls_full"`
+	Errors            int `json:"errors"`
+	Resets            int `json:"resets"`
+	ConnectsFailed    int `json:"connects_failed"`
+	TimedOut          int `json:"timed_out"`
+	Cancelled         int `json:"cancelled"`
+	NotSent           int `json:"not_sent"`
+	EffectsRun        int `json:"ran"`          // messages that took effect, repeats counted
+	DuplicateEffects  int `json:"doubled_once"` // effects of what must not be repeated beyond the first
+	RepeatsDropped    int `json:"repeats_dropped"`
+	Outages           int `json:"outages"`
+	UnitsOverloaded   int `json:"units_fallen"`
 
 	Margins []float64 `json:"margins,omitempty"` // of each cold return, see package margin
 
@@ -90,23 +90,23 @@
 	P99  float64 `json:"p99_ms"`
 	P999 float64 `json:"p999_ms"`
 
-	Broken   int            `json:"rules_broken"` // breaks in all
-	ByRule   map[string]int `json:"by_rule,omitempty"`
-	Breaks   []judge.Break  `json:"breaks,omitempty"`
-	Faults   map[string]int `json:"faults,omitempty"` // what a policy asked for that cannot be
-	Stopped  string         `json:"stopped,omitempty"`
-	Events   uint64         `json:"events"`
-	ModelS   float64        `json:"model_s"`
-	PeakHeld int            `json:"peak_held"`
-
-	Step   float64  `json:"window_s"`
-	Series []Window `json:"series,omitempty"`
-	Lanes  []Lane   `json:"lanes,omitempty"`
-	Log    []string `json:"log,omitempty"`
+	ViolationCount int               `json:"rules_broken"` // breaks in all
+	ByRule         map[string]int    `json:"by_rule,omitempty"`
+	Violations     []judge.Violation `json:"breaks,omitempty"`
+	InvalidActions map[string]int    `json:"faults,omitempty"` // what a policy asked for that cannot be
+	Stopped        string            `json:"stopped,omitempty"`
+	Events         uint64            `json:"events"`
+	ModelSeconds   float64           `json:"model_s"`
+	PeakHeld       int               `json:"peak_held"`
+
+	WindowSeconds       float64             `json:"window_s"`
+	Series              []Window            `json:"series,omitempty"`
+	BusiestDestinations []DestinationSeries `json:"lanes,omitempty"`
+	Log                 []string            `json:"log,omitempty"`
 }
 
 // Books keeps the figures while a run goes on.
-type Books struct {
+type Collector struct {
 	Result
 	s       *scenario.Scenario
 	step    time.Duration
@@ -130,16 +130,16 @@
 )
 
 // New returns empty books.
-func New(s *scenario.Scenario) *Books {
-	return &Books{s: s, step: s.Run.Window.D(), classes: make([]span, len(s.Classes)), lane: map[int]int{},
+func New(s *scenario.Scenario) *Collector {
+	return &Collector{s: s, step: s.Run.Window.D(), classes: make([]span, len(s.Classes)), lane: map[int]int{},
 		all: hdrhistogram.New(1, longest, 3), now: hdrhistogram.New(1, longest, 2)}
 }
 
 // Watch adds a destination to the lanes that are kept over time, while there is room.
-func (b *Books) Watch(dest int, rate float64) {
-	if len(b.Lanes) < lanes {
-		b.lane[dest] = len(b.Lanes)
-		b.Lanes = append(b.Lanes, Lane{Dest: dest, Rate: rate})
+func (b *Collector) TrackDestination(dest int, rate float64) {
+	if len(b.BusiestDestinations) < lanes {
+		b.lane[dest] = len(b.BusiestDestinations)
+		b.BusiestDestinations = append(b.BusiestDestinations, DestinationSeries{Dest: dest, Capacity: rate})
 	}
 }
 
@@ -153,7 +153,7 @@
 }
 
 // Outage books that an outage began or ended.
-func (b *Books) Outage(now time.Duration, begins bool) {
+func (b *Collector) Outage(now time.Duration, begins bool) {
 	h := &b.held
 	if begins {
 		b.Outages++
@@ -167,7 +167,7 @@
 }
 
 // Held books what all senders hold at a look.
-func (b *Books) Held(now time.Duration, n int) {
+func (b *Collector) HeldSampled(now time.Duration, n int) {
 	w := b.window(now)
 	h := &b.held
 	if w.looked++; w.looked == 1 {
@@ -183,19 +183,19 @@
 }
 
 // window returns the series' present step, closing those before it.
-func (b *Books) window(now time.Duration) *Window {
+func (b *Collector) window(now time.Duration) *Window {
 	for i := int(now / b.step); len(b.Series) <= i; {
 		b.closeWindow()
 		b.Series = append(b.Series, Window{At: float64(len(b.Series)) * b.step.Seconds()})
-		for l := range b.Lanes {
-			b.Lanes[l].Calls = append(b.Lanes[l].Calls, 0)
-			b.Lanes[l].Refusals = append(b.Lanes[l].Refusals, 0)
+		for l := range b.BusiestDestinations {
+			b.BusiestDestinations[l].Calls = append(b.BusiestDestinations[l].Calls, 0)
+			b.BusiestDestinations[l].Refusals = append(b.BusiestDestinations[l].Refusals, 0)
 		}
 	}
 	return &b.Series[len(b.Series)-1]
 }
 
-func (b *Books) closeWindow() {
+func (b *Collector) closeWindow() {
 	if len(b.Series) == 0 || b.now.TotalCount() == 0 {
 		return
 	}
@@ -207,16 +207,16 @@
 func ms(us int64) float64 { return float64(us) / 1000 }
 
 // Asked books a first try.
-func (b *Books) Asked(now time.Duration, m *model.Message) {
-	b.Result.Asked++
-	b.window(now).Asked++
+func (b *Collector) MessageSubmitted(now time.Duration, m *model.Message) {
+	b.Result.Submitted++
+	b.window(now).Submitted++
 	b.first, b.once = append(b.first, false), append(b.once, false)
 	worth := b.s.Classes[m.Class].Worth
 	b.span(now).asked += worth
 	b.classes[m.Class].asked += worth
 }
 
-func (b *Books) span(at time.Duration) *span {
+func (b *Collector) span(at time.Duration) *span {
 	for len(b.spans) <= int(at/worstSpan) {
 		b.spans = append(b.spans, span{})
 	}
@@ -224,30 +224,30 @@
 }
 
 // TurnedOff books a message that found no room.
-func (b *Books) TurnedOff(now time.Duration, _ *model.Message) {
-	b.Turned++
-	b.window(now).Turned++
+func (b *Collector) MessageTurnedAway(now time.Duration, _ *model.Message) {
+	b.TurnedAway++
+	b.window(now).TurnedAway++
 }
 
 // Again books a later try.
-func (b *Books) Again(time.Duration, *model.Message) { b.Result.Again++ }
+func (b *Collector) MessageResubmitted(time.Duration, *model.Message) { b.Result.Resubmitted++ }
 
 // Called books a call.
-func (b *Books) Called(now time.Duration, c *model.Call, u *receiver.Unit, opened bool) {
+func (b *Collector) CallSent(now time.Duration, c *model.Call, u *receiver.Unit, opened bool) {
 	b.Calls++
 	b.Attempts += len(c.Messages)
 	if opened {
-		b.Opened++
+		b.ConnectionsOpened++
 	}
 	w := b.window(now)
 	w.Calls++
 	if i, kept := b.lane[u.Dest]; kept {
-		b.Lanes[i].Calls[len(b.Series)-1]++
+		b.BusiestDestinations[i].Calls[len(b.Series)-1]++
 	}
 }
 
 // Outcome books how an attempt ended.
-func (b *Books) Outcome(now time.Duration, _ int, o rules.Outcome) {
+func (b *Collector) AttemptEnded(now time.Duration, _ int, o rules.Outcome) {
 	w := b.window(now)
 	switch o {
 	case rules.Errored:
@@ -257,7 +257,7 @@
 		b.Resets++
 		w.Errors++
 	case rules.ConnectError:
-		b.NoConnect++
+		b.ConnectsFailed++
 		w.Errors++
 	case rules.TimedOut:
 		b.TimedOut++
@@ -270,37 +270,37 @@
 }
 
 // Refusal books a call that a receiver turned away.
-func (b *Books) Refusal(now time.Duration, u *receiver.Unit, limit bool) {
+func (b *Collector) CallRefused(now time.Duration, u *receiver.Unit, limit bool) {
 	w := b.window(now)
 	if limit {
-		b.Limited++
-		w.Limited++
+		b.RefusedByLimit++
+		w.RefusedByLimit++
 	} else {
-		b.Full++
-		w.Full++
+		b.RefusedOtherwise++
+		w.RefusedOtherwise++
 	}
 	if i, kept := b.lane[u.Dest]; kept {
-		b.Lanes[i].Refusals[len(b.Series)-1]++
+		b.BusiestDestinations[i].Refusals[len(b.Series)-1]++
 	}
 }
 
 // Ran books that a message took effect, or that a repeat was dropped by its key.
-func (b *Books) RanEffect(m *model.Message, repeat bool) {
+func (b *Collector) MessageTookEffect(m *model.Message, repeat bool) {
 	if repeat {
-		b.Dropped++
+		b.RepeatsDropped++
 		return
 	}
-	b.Ran++
+	b.EffectsRun++
 	if b.s.Classes[m.Class].Effect == "once" {
-		if b.once[m.First] {
-			b.DoubledOnce++
+		if b.once[m.FirstTry] {
+			b.DuplicateEffects++
 		}
-		b.once[m.First] = true
+		b.once[m.FirstTry] = true
 	}
 }
 
 // Ended books the end of a message at a sender.
-func (b *Books) Ended(now time.Duration, _ int, m *model.Message, end model.End) {
+func (b *Collector) MessageEnded(now time.Duration, _ int, m *model.Message, end model.End) {
 	w := b.window(now)
 	switch end {
 	case model.Refused:
@@ -310,16 +310,16 @@
 		b.Failed++
 		w.Failed++
 	case model.Served:
-		if b.first[m.First] {
+		if b.first[m.FirstTry] {
 			return // a repeat of what was served before
 		}
-		b.first[m.First] = true
+		b.first[m.FirstTry] = true
 		b.served(now, m, w)
 	}
 }
 
-func (b *Books) served(now time.Duration, m *model.Message, w *Window) {
-	took := now - m.Born
+func (b *Collector) served(now time.Duration, m *model.Message, w *Window) {
+	took := now - m.FirstSubmitted
 	b.Served++
 	b.took += took.Seconds()
 	w.Served++
@@ -330,7 +330,7 @@
 	_ = b.all.RecordValue(us) // within range: a deadline is a day at most, checked, and clipped below
 	_ = b.now.RecordValue(min(us, longest))
 	worth := Worth(&b.s.Classes[m.Class], took)
-	b.span(m.Born).earned += worth
+	b.span(m.FirstSubmitted).earned += worth
 	b.classes[m.Class].earned += worth
 }
 
@@ -348,10 +348,10 @@
 }
 
 // Close reckons up the figures.
-func (b *Books) Close() *Result {
+func (b *Collector) Finish() *Result {
 	b.closeWindow()
 	r := &b.Result
-	r.Step = b.step.Seconds()
+	r.WindowSeconds = b.step.Seconds()
 	r.Recovery = -1
 	if b.held.back > 0 {
 		r.Recovery = (b.held.back - b.held.ended).Seconds()
@@ -377,8 +377,8 @@
 	}
 	g := b.s.Goal
 	r.G = (g.Whole*r.Whole + g.Worst*r.Worst + g.Class*r.WorstClass) / (g.Whole + g.Worst + g.Class)
-	if r.Asked > 0 {
-		r.G -= g.Refuse * float64(r.Limited) / float64(r.Asked)
+	if r.Submitted > 0 {
+		r.G -= g.Refuse * float64(r.RefusedByLimit) / float64(r.Submitted)
 	}
 	if r.Served > 0 {
 		r.Mean = 1000 * b.took / float64(r.Served)
--- a/lab/trouble/clump.go
+++ b/lab/trouble/clump.go
@@ -9,12 +9,12 @@
 func init() {
 	register("clump", "a heap of messages comes at once for each destination struck; size: how many",
 		sizeFrom(1, 100_000, "the number of messages is expected from 1 to 100000"),
-		func(st *Stage, t scenario.Trouble, r *rand.Rand) func() {
+		func(st *Environment, t scenario.Trouble, r *rand.Rand) func() {
 			seen := map[int]bool{}
 			for _, ep := range st.endpoints(t, r) {
 				if d := ep.Unit.Dest; !seen[d] {
 					seen[d] = true
-					st.Clients.Clump(d, int(t.Size))
+					st.Clients.SubmitClump(d, int(t.Size))
 				}
 			}
 			return func() {}
--- a/lab/trouble/drain.go
+++ b/lab/trouble/drain.go
@@ -11,7 +11,7 @@
 
 func init() {
 	register("drain", "endpoints are drained one after another over the trouble's length, and replaced by new ones; extra: how long each drains before it goes", nil,
-		func(st *Stage, t scenario.Trouble, r *rand.Rand) func() {
+		func(st *Environment, t scenario.Trouble, r *rand.Rand) func() {
 			eps := st.endpoints(t, r)
 			for i, ep := range eps {
 				at := time.Duration(float64(t.For) * float64(i) / float64(len(eps)))
@@ -22,9 +22,9 @@
 }
 
 // replace lists a new endpoint, drains the old one, and takes it away after a while.
-func replace(st *Stage, old *receiver.Endpoint, after time.Duration) {
+func replace(st *Environment, old *receiver.Endpoint, after time.Duration) {
 	entry, known := st.Registry.Entry(old.ID)
-	if !known || old.Removed || old.Closing {
+	if !known || old.Removed || old.Draining {
 		return
 	}
 	fresh := st.Replace(old)
@@ -32,12 +32,12 @@
 	next.Endpoint, next.Draining, next.Gone = fresh.ID, false, false
 	st.Registry.Set(next)
 	entry.Draining = true
-	old.Closing = true
+	old.Draining = true
 	st.Registry.Set(entry)
 	st.line.After(after, func() { remove(st, old, entry) })
 }
 
-func remove(st *Stage, old *receiver.Endpoint, entry rules.Entry) {
+func remove(st *Environment, old *receiver.Endpoint, entry rules.Entry) {
 	entry.Gone = true
 	st.Registry.Set(entry)
 	old.Remove()
--- a/lab/trouble/hot.go
+++ b/lab/trouble/hot.go
@@ -9,7 +9,7 @@
 func init() {
 	register("hot", "some destinations draw a further share of all messages; size: that share (above 0 to 0.9), part: of the destinations",
 		sizeFrom(0.001, 0.9, "the share of messages is expected above 0 and at most 0.9"),
-		func(st *Stage, t scenario.Trouble, r *rand.Rand) func() {
+		func(st *Environment, t scenario.Trouble, r *rand.Rand) func() {
 			var dests []int
 			seen := map[int]bool{}
 			for _, ep := range st.endpoints(t, r) {
@@ -19,7 +19,7 @@
 			}
 			heat := func(sign float64) {
 				for _, d := range dests {
-					st.Clients.Heat(d, sign*t.Size/float64(len(dests)))
+					st.Clients.AddHotShare(d, sign*t.Size/float64(len(dests)))
 				}
 			}
 			heat(1)
--- a/lab/trouble/lost_answers.go
+++ b/lab/trouble/lost_answers.go
@@ -9,6 +9,8 @@
 	register("lost_answers", "calls are served, and their answers never come, by chance; size: the share that is lost (above 0 to 1)",
 		sizeFrom(0.001, 1, "the share of answers lost is expected above 0 and at most 1"),
 		onEndpoints(func(t scenario.Trouble) bool { return t.Size >= 0.5 },
-			func(ep *receiver.Endpoint, t scenario.Trouble) { ep.Losing += t.Size },
-			func(ep *receiver.Endpoint, t scenario.Trouble) { ep.Losing = max(0, ep.Losing-t.Size) }))
+			func(ep *receiver.Endpoint, t scenario.Trouble) { ep.LostAnswerShare += t.Size },
+			func(ep *receiver.Endpoint, t scenario.Trouble) {
+				ep.LostAnswerShare = max(0, ep.LostAnswerShare-t.Size)
+			}))
 }
--- a/lab/trouble/pauses.go
+++ b/lab/trouble/pauses.go
@@ -15,7 +15,7 @@
 			}
 			return ""
 		},
-		func(st *Stage, t scenario.Trouble, r *rand.Rand) func() {
+		func(st *Environment, t scenario.Trouble, r *rand.Rand) func() {
 			eps := st.endpoints(t, r)
 			over := false
 			var pause func()
--- a/lab/trouble/refuse_connects.go
+++ b/lab/trouble/refuse_connects.go
@@ -8,6 +8,6 @@
 func init() {
 	register("refuse_connects", "new connections are refused; those that are open go on working", nil,
 		onEndpoints(never,
-			func(ep *receiver.Endpoint, _ scenario.Trouble) { ep.Refusing++ },
-			func(ep *receiver.Endpoint, _ scenario.Trouble) { ep.Refusing-- }))
+			func(ep *receiver.Endpoint, _ scenario.Trouble) { ep.RefusingConnects++ },
+			func(ep *receiver.Endpoint, _ scenario.Trouble) { ep.RefusingConnects-- }))
 }
--- a/lab/trouble/registry_lag.go
+++ b/lab/trouble/registry_lag.go
@@ -8,8 +8,8 @@
 
 func init() {
 	register("registry_lag", "changes to the list are told later; extra: how much later", nil,
-		func(st *Stage, t scenario.Trouble, _ *rand.Rand) func() {
-			st.Registry.Lag += t.Extra.D()
-			return func() { st.Registry.Lag -= t.Extra.D() }
+		func(st *Environment, t scenario.Trouble, _ *rand.Rand) func() {
+			st.Registry.ExtraLag += t.Extra.D()
+			return func() { st.Registry.ExtraLag -= t.Extra.D() }
 		})
 }
--- a/lab/trouble/registry_silence.go
+++ b/lab/trouble/registry_silence.go
@@ -8,11 +8,11 @@
 
 func init() {
 	register("registry_silence", "nobody hears of changes to the list, and calls to the registry fail", nil,
-		func(st *Stage, _ scenario.Trouble, _ *rand.Rand) func() {
-			st.Registry.Silent++
+		func(st *Environment, _ scenario.Trouble, _ *rand.Rand) func() {
+			st.Registry.Unreachable++
 			return func() {
-				if st.Registry.Silent--; st.Registry.Silent == 0 {
-					st.Registry.Speak()
+				if st.Registry.Unreachable--; st.Registry.Unreachable == 0 {
+					st.Registry.ResumeUpdates()
 				}
 			}
 		})
--- a/lab/trouble/restart.go
+++ b/lab/trouble/restart.go
@@ -10,7 +10,7 @@
 func init() {
 	register("restart", "senders are killed one after another over the trouble's length; part: of them; extra: how long each is down; size: 1 if their state outlasts them, 0 if not",
 		sizeFrom(0, 1, "1 (state kept) or 0 is expected"),
-		func(st *Stage, t scenario.Trouble, r *rand.Rand) func() {
+		func(st *Environment, t scenario.Trouble, r *rand.Rand) func() {
 			order := r.Perm(st.Senders)
 			n := max(1, int(t.Part*float64(st.Senders)+0.5))
 			for i, s := range order[:min(n, len(order))] {
--- a/lab/trouble/shut.go
+++ b/lab/trouble/shut.go
@@ -10,9 +10,9 @@
 		sizeFrom(0, 1, "1 (a wait is told) or 0 is expected"),
 		onEndpoints(always,
 			func(ep *receiver.Endpoint, t scenario.Trouble) {
-				if ep.Shut++; t.Size >= 1 {
-					ep.OpensIn(t.For.D())
+				if ep.RefusingCalls++; t.Size >= 1 {
+					ep.AnnounceReopening(t.For.D())
 				}
 			},
-			func(ep *receiver.Endpoint, _ scenario.Trouble) { ep.Shut-- }))
+			func(ep *receiver.Endpoint, _ scenario.Trouble) { ep.RefusingCalls-- }))
 }
--- a/lab/trouble/slow.go
+++ b/lab/trouble/slow.go
@@ -9,6 +9,6 @@
 	register("slow", "service takes longer; size: how many times (above 1)",
 		sizeFrom(1.001, 1000, "how many times slower is expected above 1, at most 1000"),
 		onEndpoints(never,
-			func(ep *receiver.Endpoint, t scenario.Trouble) { ep.Slow *= t.Size },
-			func(ep *receiver.Endpoint, t scenario.Trouble) { ep.Slow /= t.Size }))
+			func(ep *receiver.Endpoint, t scenario.Trouble) { ep.Slowdown *= t.Size },
+			func(ep *receiver.Endpoint, t scenario.Trouble) { ep.Slowdown /= t.Size }))
 }
--- a/lab/trouble/surge.go
+++ b/lab/trouble/surge.go
@@ -9,8 +9,8 @@
 func init() {
 	register("surge", "traffic jumps; size: how many times (above 0; below 1 it falls)",
 		sizeFrom(0.01, 1000, "how many times the traffic is expected from 0.01 to 1000"),
-		func(st *Stage, t scenario.Trouble, _ *rand.Rand) func() {
-			st.Clients.Surge *= t.Size
-			return func() { st.Clients.Surge /= t.Size }
+		func(st *Environment, t scenario.Trouble, _ *rand.Rand) func() {
+			st.Clients.RateFactor *= t.Size
+			return func() { st.Clients.RateFactor /= t.Size }
 		})
 }
--- a/lab/trouble/trouble.go
+++ b/lab/trouble/trouble.go
@@ -18,11 +18,11 @@
 )
 
 // Stage is what troubles may touch.
-type Stage struct {
+type Environment struct {
 	Scenario *scenario.Scenario
 	Queue    *clock.Queue
 	Registry *registry.Registry
-	Clients  *client.Crowd
+	Clients  *client.LoadGenerator
 	Units    func() []*receiver.Unit // by number; replacements add to them
 	Weights  []float64               // traffic weight by destination
 	Senders  int
@@ -34,11 +34,11 @@
 	// Log notes what happened, for timelines and charts.
 	Log func(format string, args ...any)
 
-	line *clock.Line
+	line *clock.Scheduler
 }
 
 // begin starts one trouble and returns what ends it.
-type begin func(st *Stage, t scenario.Trouble, r *rand.Rand) (end func())
+type begin func(st *Environment, t scenario.Trouble, r *rand.Rand) (end func())
 
 var kinds = map[string]begin{}
 
@@ -49,8 +49,8 @@
 }
 
 // Schedule plans all troubles of a run.
-func (st *Stage) Schedule(seed uint64) {
-	st.line = st.Queue.Line(clock.Trouble, 0)
+func (st *Environment) Schedule(seed uint64) {
+	st.line = st.Queue.NewScheduler(clock.Trouble, 0)
 	seen := map[string]int{}
 	for _, t := range st.Scenario.Troubles {
 		// By what it is, not by its place: leaving another trouble out must not change whom this one strikes.
@@ -71,7 +71,7 @@
 	}
 }
 
-func (st *Stage) plan(t scenario.Trouble, at time.Duration, r *rand.Rand) {
+func (st *Environment) plan(t scenario.Trouble, at time.Duration, r *rand.Rand) {
 	st.line.At(at, func() {
 		end := kinds[t.Kind](st, t, r)
 		st.Log("%s begins", t.Kind)
@@ -83,7 +83,7 @@
 }
 
 // endpoints chooses the endpoints that a trouble strikes.
-func (st *Stage) endpoints(t scenario.Trouble, r *rand.Rand) []*receiver.Endpoint {
+func (st *Environment) endpoints(t scenario.Trouble, r *rand.Rand) []*receiver.Endpoint {
 	var pool []*receiver.Endpoint
 	for _, u := range st.Units() {
 		if t.On != "" && st.Scenario.Kinds[u.Kind].Name != t.On {
@@ -107,7 +107,7 @@
 }
 
 // choose picks a part of the groups, the busiest or any.
-func (st *Stage) choose(t scenario.Trouble, r *rand.Rand, pool []*receiver.Endpoint, group func(*receiver.Endpoint) int) map[int]bool {
+func (st *Environment) choose(t scenario.Trouble, r *rand.Rand, pool []*receiver.Endpoint, group func(*receiver.Endpoint) int) map[int]bool {
 	var groups []int
 	weight := map[int]float64{}
 	for _, ep := range pool {
@@ -158,7 +158,7 @@
 
 // outage begins an outage of each unit that was struck as a whole, and returns what ends it. The rules speak of the
 // destination or the route: one endpoint down of several is none.
-func (st *Stage) outage(eps []*receiver.Endpoint) (end func()) {
+func (st *Environment) outage(eps []*receiver.Endpoint) (end func()) {
 	whole := units(eps)
 	each := func(f func(u *receiver.Unit)) {
 		for _, u := range st.Units() { // in order, as maps have none
@@ -173,7 +173,7 @@
 
 // onEndpoints is a kind that does something to each endpoint struck, and undoes it; an outage as a whole if asked.
 func onEndpoints(isOutage func(scenario.Trouble) bool, do, undo func(ep *receiver.Endpoint, t scenario.Trouble)) begin {
-	return func(st *Stage, t scenario.Trouble, r *rand.Rand) func() {
+	return func(st *Environment, t scenario.Trouble, r *rand.Rand) func() {
 		eps := st.endpoints(t, r)
 		end := func() {}
 		if isOutage(t) {
--- a/lab/world/cold_test.go
+++ b/lab/world/cold_test.go
@@ -23,11 +23,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, b := range r.Breaks {
+			for _, b := range r.Violations {
 				t.Errorf("seed %d: %v\n\t%s", seed, b, strings.Join(b.Trail, "\n\t"))
 			}
-			if r.Fallen > 0 || r.Whole < 0.72 {
-				t.Errorf("seed %d: %d pushed over, served %.3f, want none and 0.72 at least", seed, r.Fallen, r.Whole)
+			if r.UnitsOverloaded > 0 || r.Whole < 0.72 {
+				t.Errorf("seed %d: %d pushed over, served %.3f, want none and 0.72 at least", seed, r.UnitsOverloaded, r.Whole)
 			}
 		})
 	}
--- a/lab/world/hundreds_test.go
+++ b/lab/world/hundreds_test.go
@@ -65,14 +65,14 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				for _, b := range r.Breaks {
+				for _, b := range r.Violations {
 					t.Errorf("seed %d: %v\n\t%s", seed, b, strings.Join(b.Trail, "\n\t"))
 				}
-				calls := float64(r.Calls) / float64(r.Asked)
+				calls := float64(r.Calls) / float64(r.Submitted)
 				t.Logf("seed %d: served %.4f, %.3f calls a message", seed, r.Whole, calls)
-				if r.Whole < row.served || calls > row.calls || len(r.Faults) > 0 || r.Stopped != "" {
+				if r.Whole < row.served || calls > row.calls || len(r.InvalidActions) > 0 || r.Stopped != "" {
 					t.Errorf("seed %d: served %.3f, %.2f calls a message, faults %v, stopped %q; want %.2f at least and %.2f at most",
-						seed, r.Whole, calls, r.Faults, r.Stopped, row.served, row.calls)
+						seed, r.Whole, calls, r.InvalidActions, r.Stopped, row.served, row.calls)
 				}
 			})
 		}
@@ -96,7 +96,7 @@
 				t.Fatal(err)
 			}
 			served[rates] = r.Whole
-			for _, b := range r.Breaks {
+			for _, b := range r.Violations {
 				t.Errorf("seed %d, rates %s: %v", seed, rates, b)
 			}
 		}
--- a/lab/world/judge_test.go
+++ b/lab/world/judge_test.go
@@ -251,14 +251,14 @@
 		says   string
 	}{
 		{"a sender that keeps all", nil, 0, ""},
-		{"one that loses messages", func(s *sloppy) { s.lose = true }, judge.Lost, "has no end"},
-		{"one that ends messages twice", func(s *sloppy) { s.twice = true }, judge.Lost, "had ended"},
-		{"one that repeats payments", func(s *sloppy) { s.repeat = true }, judge.Doubled, "sent again"},
-		{"one that refuses what may have run", func(s *sloppy) { s.promise = true }, judge.Doubled, "refused"},
-		{"one that does not hear of drains", func(s *sloppy) { s.deaf = true }, judge.Drained, "drains or is gone"},
-		{"one that hammers what returns", func(s *sloppy) { s.hammer = true }, judge.Overrun, "fell over"},
-		{"one that ignores the order of keys", func(s *sloppy) { s.jumble = true }, judge.Disorder, "same key"},
-		{"one that does not wait", func(s *sloppy) { s.hasty = true }, judge.Hasty, "asked at"},
+		{"one that loses messages", func(s *sloppy) { s.lose = true }, judge.LostMessage, "has no end"},
+		{"one that ends messages twice", func(s *sloppy) { s.twice = true }, judge.LostMessage, "had ended"},
+		{"one that repeats payments", func(s *sloppy) { s.repeat = true }, judge.DoubleEffect, "sent again"},
+		{"one that refuses what may have run", func(s *sloppy) { s.promise = true }, judge.DoubleEffect, "refused"},
+		{"one that does not hear of drains", func(s *sloppy) { s.deaf = true }, judge.DrainIgnored, "drains or is gone"},
+		{"one that hammers what returns", func(s *sloppy) { s.hammer = true }, judge.RecoveryOverload, "fell over"},
+		{"one that ignores the order of keys", func(s *sloppy) { s.jumble = true }, judge.OutOfOrder, "same key"},
+		{"one that does not wait", func(s *sloppy) { s.hasty = true }, judge.RetryAfterIgnored, "asked at"},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			t.Parallel()
@@ -267,20 +267,20 @@
 				t.Fatal(err)
 			}
 			if row.rule == 0 {
-				if r.Broken > 0 {
-					t.Errorf("%d breaks, want none: %v", r.Broken, r.Breaks[0])
+				if r.ViolationCount > 0 {
+					t.Errorf("%d breaks, want none: %v", r.ViolationCount, r.Violations[0])
 				}
 				return
 			}
 			if r.ByRule[row.rule.String()] == 0 {
 				t.Fatalf("no break of rule %v; by rule: %v", row.rule, r.ByRule)
 			}
-			for _, b := range r.Breaks {
+			for _, b := range r.Violations {
 				if b.Rule == row.rule && strings.Contains(b.Text, row.says) && len(b.Trail) > 0 {
 					return
 				}
 			}
-			t.Errorf("no break of rule %v says %q with a trail: %v", row.rule, row.says, r.Breaks[0])
+			t.Errorf("no break of rule %v says %q with a trail: %v", row.rule, row.says, r.Violations[0])
 		})
 	}
 }
@@ -298,11 +298,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, b := range r.Breaks {
+			for _, b := range r.Violations {
 				t.Errorf("%v\n\t%s", b, strings.Join(b.Trail, "\n\t"))
 			}
-			if len(r.Faults) > 0 || r.DoubledOnce > 0 {
-				t.Errorf("faults %v, %d payments doubled", r.Faults, r.DoubledOnce)
+			if len(r.InvalidActions) > 0 || r.DuplicateEffects > 0 {
+				t.Errorf("faults %v, %d payments doubled", r.InvalidActions, r.DuplicateEffects)
 			}
 		})
 	}
--- a/lab/world/site.go
+++ b/lab/world/site.go
@@ -17,7 +17,7 @@
 )
 
 // Site is all receivers of a scenario, as drawn from a seed.
-type Site struct {
+type ReceiverSet struct {
 	Units     []*receiver.Unit // by number
 	Endpoints map[rules.EndpointID]*receiver.Endpoint
 	s         *scenario.Scenario
@@ -29,15 +29,15 @@
 }
 
 // NewSite makes the receivers and lists them with a registry.
-func NewSite(s *scenario.Scenario, seed uint64, q *clock.Queue, reg *registry.Registry, obs receiver.Observer) *Site {
-	w := &Site{Endpoints: map[rules.EndpointID]*receiver.Endpoint{}, s: s, seed: seed, q: q, reg: reg, obs: obs}
+func NewReceiverSet(s *scenario.Scenario, seed uint64, q *clock.Queue, reg *registry.Registry, obs receiver.Observer) *ReceiverSet {
+	w := &ReceiverSet{Endpoints: map[rules.EndpointID]*receiver.Endpoint{}, s: s, seed: seed, q: q, reg: reg, obs: obs}
 	w.build()
-	reg.Seal()
+	reg.SealInitial()
 	return w
 }
 
 // buildReceivers makes every destination's endpoints and units, and lists them.
-func (w *Site) build() {
+func (w *ReceiverSet) build() {
 	weights := w.s.DestinationWeights()
 	mean := 1 / float64(max(len(weights), 1))
 	dest := 0
@@ -51,7 +51,7 @@
 }
 
 // Busiest lists up to n destinations, those with most traffic first.
-func (w *Site) Busiest(n int) []int {
+func (w *ReceiverSet) Busiest(n int) []int {
 	weights := w.s.DestinationWeights()
 	order := make([]int, len(weights))
 	for i := range order {
@@ -62,21 +62,21 @@
 }
 
 // Rate is the calls a second that a destination takes at its best.
-func (w *Site) Rate(dest int) float64 {
+func (w *ReceiverSet) Capacity(dest int) float64 {
 	rate := 0.0
 	for _, u := range w.Units {
 		if u.Dest == dest {
-			rate += u.Listed()
+			rate += u.Capacity()
 		}
 	}
 	return rate
 }
 
-func (w *Site) buildDestination(dest, k int, kind *scenario.Kind, weight, mean float64) {
+func (w *ReceiverSet) buildDestination(dest, k int, kind *scenario.Kind, weight, mean float64) {
 	r := random.Stream(w.seed, "destination", dest)
 	spec := w.spec(kind)
 	if kind.Spread > 0 {
-		spec.Pace = random.Log(time.Second, kind.Spread).Draw(r).Seconds()
+		spec.ServiceTimeFactor = random.NewLognormal(time.Second, kind.Spread).Draw(r).Seconds()
 	}
 	n := kind.DrawEndpoints(r)
 	var u *receiver.Unit
@@ -87,7 +87,7 @@
 			w.setLimit(u, kind.Limit, weight/float64(max(1, min(n, routes(kind, n)))), mean)
 		}
 		ep := w.newEndpoint(u, i%w.s.Senders.Zones, kind.Connections)
-		w.reg.Seed(rules.Entry{Endpoint: ep.ID, Destination: dest, Kind: k, Zone: ep.Zone})
+		w.reg.AddInitial(rules.Entry{Endpoint: ep.ID, Destination: dest, Kind: k, Zone: ep.Zone})
 	}
 	w.listRates(dest, r.Float64())
 }
@@ -101,7 +101,7 @@
 }
 
 // listRates fills in what the list tells of a destination's limits.
-func (w *Site) listRates(dest int, luck float64) {
+func (w *ReceiverSet) listRates(dest int, luck float64) {
 	factor := 1.0
 	switch w.s.Senders.RatesListed {
 	case "none":
@@ -115,55 +115,55 @@
 		}
 		for _, ep := range u.Endpoints {
 			e, _ := w.reg.Entry(ep.ID)
-			e.ListedRate = u.Listed() * factor
-			w.reg.Amend(e)
+			e.ListedRate = u.Capacity() * factor
+			w.reg.UpdateInitial(e)
 		}
 	}
 }
 
-func (w *Site) spec(kind *scenario.Kind) *receiver.Spec {
+func (w *ReceiverSet) spec(kind *scenario.Kind) *receiver.Spec {
 	r := w.s.Rules
-	spec := &receiver.Spec{Servers: kind.Servers, Queue: kind.Queue, Service: kind.Service.Random(), Pace: 1,
-		BatchCost: kind.BatchCost, Batch: kind.Batch, Drops: kind.Drops, Reports: kind.Reports, Tells: kind.Limit.Tells,
+	spec := &receiver.Spec{Servers: kind.Servers, MaxQueued: kind.Queue, ServiceTime: kind.Service.Random(), ServiceTimeFactor: 1,
+		BatchCost: kind.BatchCost, MaxBatch: kind.Batch, DropAbandoned: kind.Drops, ReportsLimit: kind.Reports, RetryAfterShare: kind.Limit.Tells,
 		ColdShare: r.ColdShare, WarmUp: r.WarmUp.D(), FallWindow: r.FallWindow.D(), OverloadFactor: r.OverloadFactor, FallChance: r.FallChance, StandingTerm: r.FallTerm == "standing"}
 	for _, c := range w.s.Classes {
 		window := time.Duration(0)
 		if c.Effect == "keyed" {
 			window = c.Window.D()
 		}
-		spec.Work = append(spec.Work, c.Work)
-		spec.Remembers = append(spec.Remembers, window)
-		spec.Scopes = append(spec.Scopes, scopes[c.Scope])
+		spec.WorkByClass = append(spec.WorkByClass, c.Work)
+		spec.DedupWindows = append(spec.DedupWindows, window)
+		spec.DedupScopes = append(spec.DedupScopes, scopes[c.Scope])
 	}
 	return spec
 }
 
 // setLimit gives a unit its limit: as stated, by its part of the traffic, or as a multiple of what it is sent.
-func (w *Site) setLimit(u *receiver.Unit, l scenario.Limit, weight, mean float64) {
+func (w *ReceiverSet) setLimit(u *receiver.Unit, l scenario.Limit, weight, mean float64) {
 	factor := 1.0
 	if l.Scales {
 		factor = weight / mean
 	}
-	sent := weight * w.s.Traffic.Rate / float64(max(1, u.Spec.Batch))
+	sent := weight * w.s.Traffic.Rate / float64(max(1, u.Spec.MaxBatch))
 	switch l.Type {
 	case "rate":
 		rate := l.Rate * factor
 		if l.Headroom > 0 {
 			rate = l.Headroom * sent
 		}
-		u.LimitRate(max(rate, l.Least, 0.01), l.Burst, l.UsesUp)
+		u.SetRateLimit(max(rate, l.Least, 0.01), l.Burst, l.UsesUp)
 	case "window":
 		count := float64(l.Count) * factor
 		if l.Headroom > 0 {
 			count = l.Headroom * sent * l.Span.D().Seconds()
 		}
-		u.LimitWindow(max(count, l.Least*l.Span.D().Seconds(), 1), l.Span.D(), l.UsesUp)
+		u.SetWindowLimit(max(count, l.Least*l.Span.D().Seconds(), 1), l.Span.D(), l.UsesUp)
 	case "concurrent":
-		u.LimitConcurrent(max(float64(l.Count)*factor, 1))
+		u.SetConcurrencyLimit(max(float64(l.Count)*factor, 1))
 	}
 }
 
-func (w *Site) newEndpoint(u *receiver.Unit, zone, cap int) *receiver.Endpoint {
+func (w *ReceiverSet) newEndpoint(u *receiver.Unit, zone, cap int) *receiver.Endpoint {
 	w.number++
 	ep := receiver.NewEndpoint(rules.EndpointID(w.number), w.number, zone, u, cap, w.q, random.Stream(w.seed, "endpoint", w.number))
 	w.Endpoints[ep.ID] = ep
@@ -171,11 +171,11 @@
 }
 
 // Replace makes an endpoint that takes an old one's place; where routes are apart it is a route of its own.
-func (w *Site) Replace(old *receiver.Endpoint) *receiver.Endpoint {
+func (w *ReceiverSet) Replace(old *receiver.Endpoint) *receiver.Endpoint {
 	u := old.Unit
 	if w.s.Kinds[u.Kind].RoutesApart {
-		u = u.Sibling(len(w.Units))
+		u = u.Replacement(len(w.Units))
 		w.Units = append(w.Units, u)
 	}
-	return w.newEndpoint(u, old.Zone, old.Table.Cap)
+	return w.newEndpoint(u, old.Zone, old.Conns.MaxConns)
 }
--- a/lab/world/slowstart_test.go
+++ b/lab/world/slowstart_test.go
@@ -69,7 +69,7 @@
 // check fails the test for each broken rule.
 func (p returnPlay) check(t *testing.T) {
 	t.Helper()
-	for _, b := range p.run(t).Breaks {
+	for _, b := range p.run(t).Violations {
 		t.Errorf("%v: %v\n\t%s", p, b, strings.Join(b.Trail, "\n\t"))
 	}
 }
@@ -108,7 +108,7 @@
 					length: 8500 * time.Millisecond, part: 0.6, rates: "rough", seed: seed}
 				r := p.run(t)
 				margins = append(margins, r.Margins...)
-				for _, b := range r.Breaks {
+				for _, b := range r.Violations {
 					t.Errorf("%v: %v\n\t%s", p, b, strings.Join(b.Trail, "\n\t"))
 				}
 			}
@@ -155,12 +155,12 @@
 				r := p.run(t)
 				mu.Lock()
 				defer mu.Unlock()
-				fallen += min(r.Fallen, 1)
+				fallen += min(r.UnitsOverloaded, 1)
 				served += r.Whole
 				margins = append(margins, r.Margins...)
-				if len(r.Breaks) > 0 {
+				if len(r.Violations) > 0 {
 					broken++
-					t.Errorf("%v: %v", p, r.Breaks[0])
+					t.Errorf("%v: %v", p, r.Violations[0])
 				}
 			})
 		}
--- a/lab/world/theory_test.go
+++ b/lab/world/theory_test.go
@@ -119,9 +119,9 @@
 			}
 			what, got, want := "wait, ms", r.Mean-100-halfTick, 100*erlangC(row.servers, a)/(float64(row.servers)-a)
 			if row.loss {
-				what, got, want = "loss", float64(r.Full)/float64(r.Calls), erlangB(row.servers, a)
+				what, got, want = "loss", float64(r.RefusedOtherwise)/float64(r.Calls), erlangB(row.servers, a)
 			}
-			t.Logf("| %s | %.1f | %s | %.4f | %.4f | %+.1f %% | %d |", row.name, row.load, what, want, got, 100*(got/want-1), r.Asked)
+			t.Logf("| %s | %.1f | %s | %.4f | %.4f | %+.1f %% | %d |", row.name, row.load, what, want, got, 100*(got/want-1), r.Submitted)
 			if math.Abs(got/want-1) > within {
 				t.Errorf("%s %.4f, theory %.4f: off by %.1f %%", what, got, want, 100*(got/want-1))
 			}
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -43,15 +43,15 @@
 	net     *network.Network
 	reg     *registry.Registry
 	judge   *judge.Judge
-	books   *tally.Books
-	crowd   *client.Crowd
+	books   *tally.Collector
+	crowd   *client.LoadGenerator
 	senders []*sender.Host
-	site    *Site
+	site    *ReceiverSet
 	seed    uint64
 	starts  []uint64 // processes started, by sender
 	rounds  map[time.Duration][]*sender.Host
-	steps   *clock.Line
-	checks  *clock.Line
+	steps   *clock.Scheduler
+	checks  *clock.Scheduler
 	serial  bool
 	workers int
 	trace   func(string)
@@ -79,7 +79,7 @@
 		return func(set rules.Settings) sender.Policy { return baseline.Adaptive(set) }
 	}},
 	"oracle": {"sees the true state of every receiver: the yardstick from above", true, func(w *World) sender.Factory {
-		truth := baseline.NewTruth(w.site.Endpoints, 3*w.s.Network.OneWay.Random().Mean()+time.Millisecond)
+		truth := baseline.NewOracleView(w.site.Endpoints, 3*w.s.Network.OneWay.Random().Mean()+time.Millisecond)
 		return func(set rules.Settings) sender.Policy { return baseline.Oracle(set, truth) }
 	}},
 }
@@ -95,7 +95,7 @@
 }
 
 // AboutPolicy says what a named policy is.
-func AboutPolicy(name string) string { return policies[name].about }
+func DescribePolicy(name string) string { return policies[name].about }
 
 // Run plays a scenario once.
 func Run(s *scenario.Scenario, o Options) (*tally.Result, error) {
@@ -118,7 +118,7 @@
 		w.workers = runtime.GOMAXPROCS(0)
 	}
 	w.books.Scenario, w.books.Policy, w.books.Seed = s.Name, name, o.Seed
-	w.steps, w.checks = w.q.Line(clock.Step, 0), w.q.Line(clock.Check, 0)
+	w.steps, w.checks = w.q.NewScheduler(clock.Step, 0), w.q.NewScheduler(clock.Check, 0)
 	w.net = network.New(s.Network.OneWay.Random(), s.Network.CrossZone.D(), s.Network.Handshakes, random.Stream(o.Seed, "network", 0))
 	w.judge = judge.New(s, func(id rules.EndpointID) (int, int) {
 		if ep := w.site.Endpoints[id]; ep != nil {
@@ -127,10 +127,10 @@
 		return -1, -1
 	})
 	w.reg = registry.New(s.Senders.Count, s.Registry.Mode == "ask", s.Registry.Lag.Random(), &w.q,
-		random.Stream(o.Seed, "registry", 0), func(n int, e rules.ListUpdate) { w.senders[n].Listed(e) })
-	w.site = NewSite(s, o.Seed, &w.q, w.reg, (*watcher)(w))
+		random.Stream(o.Seed, "registry", 0), func(n int, e rules.ListUpdate) { w.senders[n].UpdateList(e) })
+	w.site = NewReceiverSet(s, o.Seed, &w.q, w.reg, (*watcher)(w))
 	for _, d := range w.site.Busiest(16) {
-		w.books.Watch(d, w.site.Rate(d))
+		w.books.TrackDestination(d, w.site.Capacity(d))
 	}
 	w.crowd = client.New(s, o.Seed, &w.q, (*door)(w), w.books)
 	factory := o.Factory
@@ -171,8 +171,8 @@
 	w.starts = make([]uint64, w.s.Senders.Count)
 	for i := range w.s.Senders.Count {
 		zone := i % w.s.Senders.Zones
-		around := &sender.Surroundings{Scenario: w.s, Queue: &w.q, Network: w.net, Registry: w.reg, Judge: w.judge,
-			Endpoints: w.site.Endpoints, Factory: factory, Due: w.due, Books: w.books, Clients: home{w, i}}
+		around := &sender.Environment{Scenario: w.s, Queue: &w.q, Network: w.net, Registry: w.reg, Judge: w.judge,
+			Endpoints: w.site.Endpoints, Factory: factory, RequestStep: w.due, Recorder: w.books, Clients: home{w, i}}
 		if w.trace != nil {
 			around.Trace = w.tracef
 		}
@@ -195,7 +195,7 @@
 }
 
 func (w *World) buildTroubles() {
-	st := &trouble.Stage{Scenario: w.s, Queue: &w.q, Registry: w.reg, Clients: w.crowd, Units: func() []*receiver.Unit { return w.site.Units },
+	st := &trouble.Environment{Scenario: w.s, Queue: &w.q, Registry: w.reg, Clients: w.crowd, Units: func() []*receiver.Unit { return w.site.Units },
 		Weights: w.s.DestinationWeights(), Senders: len(w.senders), Log: w.log, StopSender: w.stopSender, StartSender: w.startSender,
 		Replace: w.site.Replace}
 	st.Schedule(w.seed)
@@ -208,16 +208,16 @@
 // ready again when it answers.
 func (w *World) watchHealth(every time.Duration) {
 	failed, out := map[rules.EndpointID]int{}, map[rules.EndpointID]bool{}
-	line := w.q.Line(clock.Registry, 1)
+	line := w.q.NewScheduler(clock.Registry, 1)
 	var look func()
 	look = func() {
 		for id := rules.EndpointID(1); int(id) <= w.site.number; id++ {
 			ep := w.site.Endpoints[id]
 			e, listed := w.reg.Entry(id)
-			if !listed || ep.Closing || ep.Removed {
+			if !listed || ep.Draining || ep.Removed {
 				continue
 			}
-			if ep.Health() {
+			if ep.Healthy() {
 				failed[id] = 0
 			} else {
 				failed[id]++
@@ -237,7 +237,7 @@
 		return
 	}
 	w.starts[n]++
-	w.judge.Started(w.q.Now(), n)
+	w.judge.SenderStarted(w.q.Now(), n)
 	w.senders[n].Start(random.Stream(w.seed, fmt.Sprintf("sender %d", n), int(w.starts[n])).Uint64())
 }
 
@@ -267,13 +267,13 @@
 	if w.serial {
 		for _, h := range hosts {
 			h.Decide(now)
-			h.CarryOut()
+			h.ExecuteActions()
 		}
 		return
 	}
 	w.decide(hosts, now)
 	for _, h := range hosts {
-		h.CarryOut()
+		h.ExecuteActions()
 	}
 }
 
@@ -307,7 +307,7 @@
 	for _, h := range w.senders {
 		held += h.Held()
 	}
-	w.books.Held(w.q.Now(), held)
+	w.books.HeldSampled(w.q.Now(), held)
 	w.checks.After(100*time.Millisecond, w.sweep)
 }
 
@@ -337,25 +337,25 @@
 }
 
 func (w *World) close(err error) *tally.Result {
-	r := w.books.Close()
-	r.Events, r.ModelS = w.q.Fired(), w.q.Now().Seconds()
-	r.Breaks, r.ByRule = w.judge.Breaks, map[string]int{}
+	r := w.books.Finish()
+	r.Events, r.ModelSeconds = w.q.Fired(), w.q.Now().Seconds()
+	r.Violations, r.ByRule = w.judge.Violations, map[string]int{}
 	for _, rule := range judge.Rules {
 		if n := w.judge.Counts[rule]; n > 0 {
 			r.ByRule[rule.String()] = n
-			r.Broken += n
+			r.ViolationCount += n
 		}
 	}
 	r.Margins = w.judge.Margins()
-	r.Faults = map[string]int{}
+	r.InvalidActions = map[string]int{}
 	for _, h := range w.senders {
-		r.PeakHeld = max(r.PeakHeld, h.Peak)
-		for text, n := range h.Faults {
-			r.Faults[text] += n
+		r.PeakHeld = max(r.PeakHeld, h.PeakHeld)
+		for text, n := range h.InvalidActions {
+			r.InvalidActions[text] += n
 		}
 	}
 	if late := w.q.Late(); late > 0 {
-		r.Faults["the model asked for an event in the past"] = int(late)
+		r.InvalidActions["the model asked for an event in the past"] = int(late)
 	}
 	if err != nil {
 		r.Stopped = err.Error()
@@ -366,15 +366,15 @@
 // door is the senders as clients meet them.
 type door World
 
-func (d *door) Hand(n int, m *model.Message) (taken, up bool) {
+func (d *door) Submit(n int, m *model.Message) (taken, up bool) {
 	h := d.senders[n]
 	if !h.Up {
 		return false, false
 	}
-	return h.Hand(m), true
+	return h.Submit(m), true
 }
 
-func (d *door) Live(n int) (int, bool) {
+func (d *door) FindLive(n int) (int, bool) {
 	for i := range d.senders {
 		if k := (n + i) % len(d.senders); d.senders[k].Up {
 			return k, true
@@ -389,32 +389,34 @@
 	sender int
 }
 
-func (h home) Ended(m *model.Message, end model.End, advice time.Duration) {
-	h.w.crowd.Ended(h.sender, m, end, advice)
+func (h home) MessageEnded(m *model.Message, end model.End, advice time.Duration) {
+	h.w.crowd.MessageEnded(h.sender, m, end, advice)
 }
 
 // watcher passes on what happens at receivers.
 type watcher World
 
-func (x *watcher) Arrived(*receiver.Unit, *model.Call) {}
+func (x *watcher) CallArrived(*receiver.Unit, *model.Call) {}
 
-func (x *watcher) Ran(_ *receiver.Unit, m *model.Message, repeat bool) { x.books.RanEffect(m, repeat) }
+func (x *watcher) MessageTookEffect(_ *receiver.Unit, m *model.Message, repeat bool) {
+	x.books.MessageTookEffect(m, repeat)
+}
 
 func (x *watcher) Outage(u *receiver.Unit, begins bool) {
 	x.books.Outage(x.q.Now(), begins)
 	x.judge.Outage(x.q.Now(), u.Number, begins)
 }
 
-func (x *watcher) Weighed(u *receiver.Unit, window []receiver.Arrival, allowed float64) {
-	x.judge.Weighed(u.Number, window, allowed)
+func (x *watcher) WindowMeasured(u *receiver.Unit, window []receiver.Arrival, allowed float64) {
+	x.judge.WindowMeasured(u.Number, window, allowed)
 }
 
-func (x *watcher) Fell(u *receiver.Unit, by map[int]float64) {
-	x.books.Fallen++
+func (x *watcher) UnitOverloaded(u *receiver.Unit, by map[int]float64) {
+	x.books.UnitsOverloaded++
 	(*World)(x).log("unit %d of destination %d falls over", u.Number, u.Dest)
-	x.judge.Fell(x.q.Now(), u.Number, by)
+	x.judge.UnitOverloaded(x.q.Now(), u.Number, by)
 }
 
-func (x *watcher) Refused(u *receiver.Unit, _ *model.Call, limit bool) {
-	x.books.Refusal(x.q.Now(), u, limit)
+func (x *watcher) CallRefused(u *receiver.Unit, _ *model.Call, limit bool) {
+	x.books.CallRefused(x.q.Now(), u, limit)
 }
--- a/lab/world/world_test.go
+++ b/lab/world/world_test.go
@@ -67,14 +67,14 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				for _, b := range r.Breaks {
-					if day == "mixed" && b.Rule == judge.Overrun {
+				for _, b := range r.Violations {
+					if day == "mixed" && b.Rule == judge.RecoveryOverload {
 						continue
 					}
 					t.Errorf("seed %d: %v\n\t%s", seed, b, strings.Join(b.Trail, "\n\t"))
 				}
-				if len(r.Faults) > 0 || r.Stopped != "" || r.Asked == 0 {
-					t.Errorf("seed %d: faults %v, stopped %q, %d asked", seed, r.Faults, r.Stopped, r.Asked)
+				if len(r.InvalidActions) > 0 || r.Stopped != "" || r.Submitted == 0 {
+					t.Errorf("seed %d: faults %v, stopped %q, %d asked", seed, r.InvalidActions, r.Stopped, r.Submitted)
 				}
 			})
 		}
@@ -88,8 +88,8 @@
 	s.Troubles = []scenario.Trouble{{Kind: "restart", At: scenario.Duration(10 * time.Second), For: scenario.Duration(5 * time.Second),
 		Part: 1, Size: 1, Extra: scenario.Duration(4 * time.Second), By: "destination"}}
 	r, err := Run(s, Options{Seed: 2})
-	if err != nil || r.Broken > 0 {
-		t.Fatalf("%v, %v", err, r.Breaks)
+	if err != nil || r.ViolationCount > 0 {
+		t.Fatalf("%v, %v", err, r.Violations)
 	}
 	lazy := func(set rules.Settings) sender.Policy {
 		p := rules.New(set)
@@ -129,17 +129,17 @@
 		check   func(r *tally.Result) bool
 	}{
 		{"no traffic", []string{"traffic.rate", "0"}, nil,
-			func(r *tally.Result) bool { return r.Asked == 0 && r.G == 1 && r.Broken == 0 }},
+			func(r *tally.Result) bool { return r.Submitted == 0 && r.G == 1 && r.ViolationCount == 0 }},
 		{"no time", []string{"run.length", "0s"}, nil,
-			func(r *tally.Result) bool { return r.Asked == 0 }},
+			func(r *tally.Result) bool { return r.Submitted == 0 }},
 		{"all receivers down", []string{"trouble.crash.part", "1", "trouble.crash.at", "0s", "trouble.crash.for", "1h"}, nil,
-			func(r *tally.Result) bool { return r.Served == 0 && r.Asked > 0 && r.Broken == 0 }},
+			func(r *tally.Result) bool { return r.Served == 0 && r.Submitted > 0 && r.ViolationCount == 0 }},
 		{"a deadline shorter than a tick", []string{"senders.tick", "50ms", "class.status.aim", "1ms", "class.status.deadline", "10ms"}, nil,
-			func(r *tally.Result) bool { return r.Served < r.Asked && r.Stopped == "" }},
+			func(r *tally.Result) bool { return r.Served < r.Submitted && r.Stopped == "" }},
 		{"a wake-up in the past", nil, always(func(time.Duration, []rules.Event) []rules.Action {
 			return []rules.Action{rules.WakeAfter{After: -time.Second}}
 		}), func(r *tally.Result) bool {
-			return r.Faults["a wake-up in the past was asked for"] > 0 && r.ByRule["1 lost message"] > 0
+			return r.InvalidActions["a wake-up in the past was asked for"] > 0 && r.ByRule["1 lost message"] > 0
 		}},
 		{"messages that are never ended", nil, always(func(time.Duration, []rules.Event) []rules.Action { return nil }),
 			func(r *tally.Result) bool { return r.ByRule["1 lost message"] > 0 && r.Stopped == "" }},
@@ -152,7 +152,7 @@
 				}
 			}
 			return nil
-		}), func(r *tally.Result) bool { return r.Faults["the policy panicked: m40 is too much"] == 1 }},
+		}), func(r *tally.Result) bool { return r.InvalidActions["the policy panicked: m40 is too much"] == 1 }},
 		{"sends to nowhere", nil, always(func(_ time.Duration, events []rules.Event) (out []rules.Action) {
 			for _, e := range events {
 				if e, ok := e.(rules.Arrived); ok {
@@ -160,7 +160,7 @@
 				}
 			}
 			return out
-		}), func(r *tally.Result) bool { return r.Faults["a send to an endpoint that does not exist"] > 0 }},
+		}), func(r *tally.Result) bool { return r.InvalidActions["a send to an endpoint that does not exist"] > 0 }},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			s := load(t, "../scenarios/outage.toml", append([]string{"run.length", "10s"}, row.set...)...)
@@ -169,7 +169,7 @@
 				t.Fatal(err)
 			}
 			if !row.check(r) {
-				r.Series, r.Lanes, r.Breaks = nil, nil, nil
+				r.Series, r.BusiestDestinations, r.Violations = nil, nil, nil
 				t.Errorf("unexpected result: %s", text(t, r))
 			}
 		})
@@ -182,7 +182,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r, err := Run(s, Options{}); err != nil || r.Asked != 0 || r.Stopped != "" {
+	if r, err := Run(s, Options{}); err != nil || r.Submitted != 0 || r.Stopped != "" {
 		t.Errorf("%v, %v", r, err)
 	}
 }
@@ -196,16 +196,16 @@
 		if err != nil {
 			rt.Fatal(err)
 		}
-		for _, b := range r.Breaks {
+		for _, b := range r.Violations {
 			if b.Rule != 4 {
 				rt.Errorf("%v\n\t%s", b, strings.Join(b.Trail, "\n\t"))
 			}
 		}
-		if r.Stopped != "" || len(r.Faults) > 0 || r.DoubledOnce > 0 {
-			rt.Errorf("stopped %q, faults %v, %d doubled", r.Stopped, r.Faults, r.DoubledOnce)
+		if r.Stopped != "" || len(r.InvalidActions) > 0 || r.DuplicateEffects > 0 {
+			rt.Errorf("stopped %q, faults %v, %d doubled", r.Stopped, r.InvalidActions, r.DuplicateEffects)
 		}
-		if r.Served > r.Asked || r.Ran < r.Served || r.G > 1 || r.PeakHeld > s.Senders.MaxHeld {
-			rt.Errorf("books do not add up: %d served of %d, %d ran, G %.3f, %d held", r.Served, r.Asked, r.Ran, r.G, r.PeakHeld)
+		if r.Served > r.Submitted || r.EffectsRun < r.Served || r.G > 1 || r.PeakHeld > s.Senders.MaxHeld {
+			rt.Errorf("books do not add up: %d served of %d, %d ran, G %.3f, %d held", r.Served, r.Submitted, r.EffectsRun, r.G, r.PeakHeld)
 		}
 	})
 }
