--- a/cmd/eiderlab/scale.go
+++ b/cmd/eiderlab/scale.go
@@ -70,7 +70,7 @@
 	if err != nil {
 		return err
 	}
-	folder.About = about(o.Program, machine)
+	folder.Environment = about(o.Program, machine)
 	if redraw {
 		return folder.Save()
 	}
@@ -79,7 +79,7 @@
 	if errors.Is(err, context.Canceled) && len(rows) == 0 {
 		return err
 	}
-	folder.Add(o.Axes, rows)
+	folder.ReplaceRows(o.Axes, rows)
 	if saved := folder.Save(); saved != nil {
 		return errors.Join(err, saved)
 	}
--- a/lab/scale/event.go
+++ b/lab/scale/event.go
@@ -18,8 +18,8 @@
 	st.each(sh, func(s *sender, one *Row) error { return r.begin(st, s, one, "", within) })
 	st.startAllHollow(sh, within)
 	for _, one := range sh.rows {
-		if one.Failed != "" {
-			row.Failed = fmt.Sprintf("%s: %s", one.Who, one.Failed)
+		if one.Failure != "" {
+			row.Failure = fmt.Sprintf("%s: %s", one.Subject, one.Failure)
 			return []Row{*row}
 		}
 	}
@@ -46,8 +46,8 @@
 	for end := time.Now().Add(e.Deadline.D() + afterOutage); ok && st.book.owed() > 0 && time.Now().Before(end); {
 		ok = st.sleep(20 * time.Millisecond)
 	}
-	if ok = ok && st.sleep(endWithin); !ok && row.Failed == "" {
-		row.Failed = fmt.Sprint("broken off: ", context.Cause(st.ctx))
+	if ok = ok && st.sleep(endWithin); !ok && row.Failure == "" {
+		row.Failure = fmt.Sprint("broken off: ", context.Cause(st.ctx))
 	}
 	for _, s := range st.senders {
 		if err := s.died(); err != nil {
@@ -224,7 +224,7 @@
 	}
 	pending := real.pending + hollow.pending
 	switch {
-	case row.Failed != "":
+	case row.Failure != "":
 		row.Verdict = "not judged"
 	case v.first != "":
 		row.Verdict = "broken: " + v.first
--- a/lab/scale/fit.go
+++ b/lab/scale/fit.go
@@ -17,10 +17,10 @@
 // The shapes. A figure is no line if the largest residual is more than offLine of the largest fitted value; flat if the line's whole
 // rise over the fitted points is no more than twice the largest residual; and no line either if it leaves much of the variance.
 const (
-	Line   Shape = "line"
-	Flat   Shape = "flat"
-	NoLine Shape = "no line"
-	Few    Shape = "too few points"
+	Linear       Shape = "line"
+	Flat         Shape = "flat"
+	Nonlinear    Shape = "no line"
+	TooFewPoints Shape = "too few points"
 )
 
 const (
@@ -31,20 +31,20 @@
 
 // Fit is one figure over one axis.
 type Fit struct {
-	Axis, Who, Figure string
-	Shape             Shape
-	Points, Samples   int
-	Base, Slope       float64
-	Residual          float64 // the largest, as a share of the largest fitted value
-	R2                float64
-	HeldOut           float64 // the largest point
-	Predicted         float64 // NaN for no line: it is not extended
-	Measured          float64 // mean there
-	Low, High         float64 // least and most there
+	Axis, Subject, Figure string
+	Shape                 Shape
+	Points, Samples       int
+	Intercept, Slope      float64
+	MaxResidual           float64 // the largest, as a share of the largest fitted value
+	R2                    float64
+	HeldOut               float64 // the largest point
+	Predicted             float64 // NaN for no line: it is not extended
+	Measured              float64 // mean there
+	Min, Max              float64 // least and most there
 }
 
 // Off is how far the prediction was off, as a share of what was measured; NaN for a prediction of nothing, which has no share.
-func (f Fit) Off() float64 {
+func (f Fit) RelativeError() float64 {
 	if f.Predicted == 0 {
 		return math.NaN()
 	}
@@ -70,12 +70,12 @@
 	type sample struct{ x, y float64 }
 	var all []sample
 	for _, r := range rows {
-		kind := r.Who
+		kind := r.Subject
 		if kind != "hollow" && kind != "discovery" {
 			kind = "real"
 		}
 		y, ok := r.Figures[figure]
-		if r.Axis == axis && kind == who && r.Failed == "" && ok && !math.IsNaN(y) {
+		if r.Axis == axis && kind == who && r.Failure == "" && ok && !math.IsNaN(y) {
 			all = append(all, sample{float64(r.Value), y})
 		}
 	}
@@ -88,8 +88,8 @@
 
 // fit fits one figure and predicts its largest point from the others.
 func fit(axis, who, figure string, xs, ys []float64) Fit {
-	f := Fit{Axis: axis, Who: who, Figure: figure, Shape: Few, Base: math.NaN(), Slope: math.NaN(), Residual: math.NaN(), R2: math.NaN(), HeldOut: math.NaN(),
-		Predicted: math.NaN(), Measured: math.NaN(), Low: math.NaN(), High: math.NaN()}
+	f := Fit{Axis: axis, Subject: who, Figure: figure, Shape: TooFewPoints, Intercept: math.NaN(), Slope: math.NaN(), MaxResidual: math.NaN(), R2: math.NaN(), HeldOut: math.NaN(),
+		Predicted: math.NaN(), Measured: math.NaN(), Min: math.NaN(), Max: math.NaN()}
 	f.Points, f.Samples = len(slices.Compact(slices.Clone(xs))), len(xs)
 	if f.Points < leastPoints {
 		return f
@@ -97,38 +97,38 @@
 	f.HeldOut = xs[len(xs)-1]
 	cut := slices.Index(xs, f.HeldOut)
 	rest := ys[cut:]
-	f.Measured, f.Low, f.High = stat.Mean(rest, nil), slices.Min(rest), slices.Max(rest)
+	f.Measured, f.Min, f.Max = stat.Mean(rest, nil), slices.Min(rest), slices.Max(rest)
 	xs, ys = xs[:cut], ys[:cut]
-	f.Base, f.Slope = stat.LinearRegression(xs, ys, nil, false)
-	f.R2 = stat.RSquared(xs, ys, nil, f.Base, f.Slope)
+	f.Intercept, f.Slope = stat.LinearRegression(xs, ys, nil, false)
+	f.R2 = stat.RSquared(xs, ys, nil, f.Intercept, f.Slope)
 	most, size := 0.0, 0.0
 	for i := range xs {
-		most, size = max(most, math.Abs(ys[i]-f.Base-f.Slope*xs[i])), max(size, math.Abs(ys[i]))
+		most, size = max(most, math.Abs(ys[i]-f.Intercept-f.Slope*xs[i])), max(size, math.Abs(ys[i]))
 	}
 	if size == 0 {
-		f.Shape, f.Residual, f.Predicted = Flat, 0, 0
+		f.Shape, f.MaxResidual, f.Predicted = Flat, 0, 0
 		return f
 	}
-	f.Residual = most / size
+	f.MaxResidual = most / size
 	rise := math.Abs(f.Slope) * (xs[len(xs)-1] - xs[0])
 	switch {
-	case f.Residual > offLine:
-		f.Shape = NoLine
+	case f.MaxResidual > offLine:
+		f.Shape = Nonlinear
 		return f
 	case rise <= 2*most || rise < noChange*size:
-		f.Shape, f.Base, f.Slope = Flat, stat.Mean(ys, nil), 0
+		f.Shape, f.Intercept, f.Slope = Flat, stat.Mean(ys, nil), 0
 	case f.R2 < leastR2:
-		f.Shape = NoLine
+		f.Shape = Nonlinear
 		return f
 	default:
-		f.Shape = Line
+		f.Shape = Linear
 	}
-	f.Predicted = f.Base + f.Slope*f.HeldOut
+	f.Predicted = f.Intercept + f.Slope*f.HeldOut
 	return f
 }
 
 // Fits are the fits of all axes that rows hold.
-func Fits(rows []Row) []Fit {
+func FitRows(rows []Row) []Fit {
 	var out []Fit
 	for _, axis := range axisNames {
 		for _, x := range fitted[axis] {
--- a/lab/scale/folder.go
+++ b/lab/scale/folder.go
@@ -28,12 +28,12 @@
 
 // Folder is where a run's results lie.
 type Folder struct {
-	Path  string
-	Plan  *Plan
-	Text  []byte // of the plan
-	About string // of program and machine, for the page
-	Rows  []Row
-	build string
+	Path        string
+	Plan        *Plan
+	PlanText    []byte // of the plan
+	Environment string // of program and machine, for the page
+	Rows        []Row
+	build       string
 }
 
 // OpenFolder makes or opens a folder for a plan and a daemon. One that holds another plan, or rows of another daemon, is refused.
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &Folder{Path: path, Plan: p, Text: text, build: fmt.Sprintf("daemon, SHA-256: %x\n", sha256.Sum256(daemon))}
+	f := &Folder{Path: path, Plan: p, PlanText: text, build: fmt.Sprintf("daemon, SHA-256: %x\n", sha256.Sum256(daemon))}
 	have, err := os.ReadFile(filepath.Join(path, planFile))
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
@@ -70,7 +70,7 @@
 }
 
 // Add takes rows in, in place of those of the axes that were played.
-func (f *Folder) Add(axes []string, rows []Row) {
+func (f *Folder) ReplaceRows(axes []string, rows []Row) {
 	f.Rows = slices.DeleteFunc(f.Rows, func(r Row) bool { return slices.Contains(axes, r.Axis) })
 	f.Rows = append(f.Rows, rows...)
 	place := func(axis string) int { return slices.Index(append(slices.Clone(axisNames), EventsAxis), axis) }
@@ -87,7 +87,7 @@
 		return err
 	}
 	charts := f.Charts()
-	page := &chart.Page{Title: "Scale run: " + f.Plan.Name, About: f.About, Tables: f.Tables(), Charts: charts, Notes: []string{string(f.Text)}}
+	page := &chart.Page{Title: "Scale run: " + f.Plan.Name, About: f.Environment, Tables: f.Tables(), Charts: charts, Notes: []string{string(f.PlanText)}}
 	html, err := page.HTML()
 	if err != nil {
 		return err
@@ -95,7 +95,7 @@
 	for _, one := range []struct {
 		name string
 		text []byte
-	}{{planFile, f.Text}, {buildFile, []byte(f.build)}, {rowsFile, rows}, {"summary.md", []byte(f.Summary())}, {"report.html", html}} {
+	}{{planFile, f.PlanText}, {buildFile, []byte(f.build)}, {rowsFile, rows}, {"summary.md", []byte(f.Summary())}, {"report.html", html}} {
 		if err := os.WriteFile(filepath.Join(f.Path, one.name), one.text, 0o644); err != nil {
 			return err
 		}
@@ -117,7 +117,7 @@
 	}
 	_ = w.Write(head) // a buffer takes everything
 	for _, r := range rows {
-		line := []string{r.Axis, strconv.Itoa(r.Value), r.Who, r.Failed, r.Verdict}
+		line := []string{r.Axis, strconv.Itoa(r.Value), r.Subject, r.Failure, r.Verdict}
 		for _, f := range Figures {
 			text := ""
 			if x, ok := r.Figures[f.Name]; ok {
@@ -142,7 +142,7 @@
 		if err != nil {
 			return nil, err
 		}
-		r := Row{Axis: line[0], Value: value, Who: line[2], Failed: line[3], Verdict: line[4], Figures: map[string]float64{}}
+		r := Row{Axis: line[0], Value: value, Subject: line[2], Failure: line[3], Verdict: line[4], Figures: map[string]float64{}}
 		for i, cell := range line[5:] {
 			if cell == "" {
 				continue
@@ -166,24 +166,24 @@
 // Tables are the fits, the events, and what failed.
 func (f *Folder) Tables() []chart.Table {
 	fits := chart.Table{Title: "Fits", Head: []string{"axis", "of", "figure", "shape", "points", "at 0", "for each more", "residual", "R²", "held out", "predicted", "measured", "off"}}
-	for _, x := range Fits(f.Rows) {
+	for _, x := range FitRows(f.Rows) {
 		unit := unitOf(x.Figure)
 		off := "-"
-		if o := x.Off(); !math.IsNaN(o) && !math.IsInf(o, 0) {
+		if o := x.RelativeError(); !math.IsNaN(o) && !math.IsInf(o, 0) {
 			off = fmt.Sprintf("%+.0f %%", 100*o)
 		}
 		measured := with(x.Measured, unit)
-		if x.Low != x.High && !math.IsNaN(x.Low) {
-			measured += fmt.Sprintf(" (%s to %s)", with(x.Low, unit), with(x.High, unit))
+		if x.Min != x.Max && !math.IsNaN(x.Min) {
+			measured += fmt.Sprintf(" (%s to %s)", with(x.Min, unit), with(x.Max, unit))
 		}
-		slope, base, residual := with(x.Slope, unit), with(x.Base, unit), "-"
-		if x.Shape == NoLine {
+		slope, base, residual := with(x.Slope, unit), with(x.Intercept, unit), "-"
+		if x.Shape == Nonlinear {
 			slope, base = "-", "-"
 		}
-		if !math.IsNaN(x.Residual) {
-			residual = fmt.Sprintf("%.0f %%", 100*x.Residual)
+		if !math.IsNaN(x.MaxResidual) {
+			residual = fmt.Sprintf("%.0f %%", 100*x.MaxResidual)
 		}
-		fits.Rows = append(fits.Rows, []string{x.Axis, x.Who, x.Figure, string(x.Shape), fmt.Sprintf("%d (%d)", x.Points, x.Samples), base, slope, residual, short(x.R2),
+		fits.Rows = append(fits.Rows, []string{x.Axis, x.Subject, x.Figure, string(x.Shape), fmt.Sprintf("%d (%d)", x.Points, x.Samples), base, slope, residual, short(x.R2),
 			short(x.HeldOut), with(x.Predicted, unit), measured, off})
 	}
 	tables := []chart.Table{fits}
@@ -191,13 +191,13 @@
 		"to normal", "bytes of discovery", "whole lists", "most calls in 2 s"}}
 	failed := chart.Table{Title: "Failed rows", Head: []string{"axis", "point", "of", "why"}}
 	for _, r := range f.Rows {
-		if r.Failed != "" {
-			failed.Rows = append(failed.Rows, []string{r.Axis, strconv.Itoa(r.Value), r.Who, r.Failed})
+		if r.Failure != "" {
+			failed.Rows = append(failed.Rows, []string{r.Axis, strconv.Itoa(r.Value), r.Subject, r.Failure})
 		}
 		if r.Axis != EventsAxis {
 			continue
 		}
-		row := []string{r.Who, r.Verdict}
+		row := []string{r.Subject, r.Verdict}
 		for _, name := range []string{"taken", "delivered", "told", "lost", "doubled", "ended_late", "stale", "changes", "force_p50", "force_p99", "force_max", "force_late", "normal",
 			"event_bytes", "event_wholes", "burst"} {
 			x, ok := r.Figures[name]
@@ -297,7 +297,7 @@
 
 // Charts are the figures over their axes: means with the least and most of the real senders, and the fitted line up to the held-out point.
 func (f *Folder) Charts() []*chart.Chart {
-	fits := Fits(f.Rows)
+	fits := FitRows(f.Rows)
 	var out []*chart.Chart
 	for _, d := range drawn {
 		c := &chart.Chart{Title: d.axis + ": " + d.title, X: d.axis, Y: d.y, LogY: d.log, Zero: !d.log}
@@ -318,10 +318,12 @@
 				i = j
 			}
 			c.Lines = append(c.Lines, line)
-			if at := slices.IndexFunc(fits, func(x Fit) bool { return x.Axis == d.axis && x.Who == l.who && x.Figure == l.figure && x.Shape == Line }); at >= 0 && !d.log {
+			if at := slices.IndexFunc(fits, func(x Fit) bool {
+				return x.Axis == d.axis && x.Subject == l.who && x.Figure == l.figure && x.Shape == Linear
+			}); at >= 0 && !d.log {
 				x := fits[at]
 				c.Lines = append(c.Lines, chart.Line{Name: l.figure + ", fitted without the largest", Dashed: true, X: []float64{xs[0], x.HeldOut},
-					Y: []float64{x.Base + x.Slope*xs[0], x.Predicted}})
+					Y: []float64{x.Intercept + x.Slope*xs[0], x.Predicted}})
 			}
 		}
 		if len(c.Lines) > 0 && !c.Empty() {
@@ -337,7 +339,7 @@
 	fmt.Fprintf(&b, "# Scale run: %s\n\n%s\n\nHow it is played, what the columns mean and what it cannot show: [docs/lab.md](%sdocs/lab.md#the-scale-run). A fit is a line by least squares through all points\n"+
 		"but the largest, which it then predicts. `residual` is the largest one over the largest fitted value; over %.0f %%, or with R² under %.1f, it is no line and not extended.\n"+
 		"Flat: the rise over the fitted points is no more than twice the largest residual, or under %.0f %%; then the mean is extended.\n",
-		f.Plan.Name, f.About, f.up(), 100*offLine, leastR2, 100*noChange)
+		f.Plan.Name, f.Environment, f.up(), 100*offLine, leastR2, 100*noChange)
 	for _, t := range f.Tables() {
 		fmt.Fprintf(&b, "\n## %s\n\n%s", t.Title, t.Markdown())
 	}
--- a/lab/scale/machine.go
+++ b/lab/scale/machine.go
@@ -73,7 +73,7 @@
 func (s shape) files() int { return ownFiles + s.hollow*hollowFiles + s.real*realFiles }
 
 // Fits tells why a plan cannot be played on a machine: one line with the key and its value, nil if it can.
-func (p *Plan) Fits(m Machine, axes []string) error {
+func (p *Plan) CheckResources(m Machine, axes []string) error {
 	try := func(key string, value int, s shape) error {
 		switch {
 		case s.real+1 > maxProcesses:
--- a/lab/scale/plan.go
+++ b/lab/scale/plan.go
@@ -34,27 +34,27 @@
 
 	// Base is what holds where an axis does not vary it.
 	Base struct {
-		Destinations int     `toml:"destinations"`
-		Hollow       int     `toml:"hollow"`
-		Changes      int     `toml:"changes"`         // a minute
-		Messages     float64 `toml:"messages"`        // a second, to each real sender
-		HollowMakes  float64 `toml:"hollow_messages"` // a second, in each hollow sender
-		Listed       float64 `toml:"listed_rate"`     // calls a second that discovery lists for each destination
+		Destinations      int     `toml:"destinations"`
+		Simulated         int     `toml:"hollow"`
+		Changes           int     `toml:"changes"`         // a minute
+		Messages          float64 `toml:"messages"`        // a second, to each real sender
+		SimulatedMessages float64 `toml:"hollow_messages"` // a second, in each hollow sender
+		ListedRate        float64 `toml:"listed_rate"`     // calls a second that discovery lists for each destination
 	} `toml:"base"`
 
 	Axes struct {
 		Destinations []int `toml:"destinations"`
 		Held         []int `toml:"held"`
-		Hollow       []int `toml:"hollow"`
+		Simulated    []int `toml:"hollow"`
 		Changes      []int `toml:"changes"`
 		Down         []int `toml:"down"`
-		Owed         []int `toml:"owed"`
+		Unfinished   []int `toml:"owed"`
 	} `toml:"axes"`
 
 	Events struct {
 		Play         []string          `toml:"play"`
 		Real         int               `toml:"real"`
-		Hollow       int               `toml:"hollow"`
+		Simulated    int               `toml:"hollow"`
 		Destinations int               `toml:"destinations"`
 		DownShare    float64           `toml:"down_share"`
 		Changes      int               `toml:"changes"`
@@ -79,8 +79,8 @@
 	p := &Plan{Name: "scale", Seed: 1, Settle: scenario.Duration(time.Second), Window: scenario.Duration(3 * time.Second),
 		Within: scenario.Duration(10 * time.Second)}
 	p.Senders.Real, p.Senders.Slots, p.Senders.MemoryMB, p.Senders.DiskMB = 2, 64, 2048, 256
-	p.Base.Destinations, p.Base.Hollow, p.Base.Changes, p.Base.Messages, p.Base.HollowMakes, p.Base.Listed = 1000, 8, 60, 50, 1, 1
-	p.Events.Real, p.Events.Hollow, p.Events.Destinations, p.Events.DownShare, p.Events.Changes = 4, 30, 1000, 0.015, 60
+	p.Base.Destinations, p.Base.Simulated, p.Base.Changes, p.Base.Messages, p.Base.SimulatedMessages, p.Base.ListedRate = 1000, 8, 60, 50, 1, 1
+	p.Events.Real, p.Events.Simulated, p.Events.Destinations, p.Events.DownShare, p.Events.Changes = 4, 30, 1000, 0.015, 60
 	p.Events.Deadline, p.Events.Before = scenario.Duration(5*time.Second), scenario.Duration(3*time.Second)
 	p.Events.Away, p.Events.Cut, p.Events.Zone = scenario.Duration(30*time.Second), scenario.Duration(time.Minute), scenario.Duration(10*time.Second)
 	return p
@@ -131,13 +131,13 @@
 	case "held":
 		return p.Axes.Held
 	case "hollow":
-		return p.Axes.Hollow
+		return p.Axes.Simulated
 	case "changes":
 		return p.Axes.Changes
 	case "down":
 		return p.Axes.Down
 	case "owed":
-		return p.Axes.Owed
+		return p.Axes.Unfinished
 	}
 	return nil
 }
@@ -165,10 +165,10 @@
 		span("within", p.Within, time.Second, 5*time.Minute),
 		num("senders.real", float64(p.Senders.Real), 1, million), num("senders.slots", float64(p.Senders.Slots), 1, 300),
 		num("senders.memory_mb", float64(p.Senders.MemoryMB), 64, million), num("senders.disk_mb", float64(p.Senders.DiskMB), 1, float64(p.Senders.MemoryMB)/2),
-		num("base.destinations", float64(b.Destinations), 10, million), num("base.hollow", float64(b.Hollow), 0, million),
-		num("base.changes", float64(b.Changes), 0, 6000), num("base.messages", b.Messages, 0, 5000), num("base.hollow_messages", b.HollowMakes, 0, 1000),
-		num("base.listed_rate", b.Listed, 0, million),
-		num("events.real", float64(e.Real), 2, million), num("events.hollow", float64(e.Hollow), 0, million), num("events.destinations", float64(e.Destinations), 10, million),
+		num("base.destinations", float64(b.Destinations), 10, million), num("base.hollow", float64(b.Simulated), 0, million),
+		num("base.changes", float64(b.Changes), 0, 6000), num("base.messages", b.Messages, 0, 5000), num("base.hollow_messages", b.SimulatedMessages, 0, 1000),
+		num("base.listed_rate", b.ListedRate, 0, million),
+		num("events.real", float64(e.Real), 2, million), num("events.hollow", float64(e.Simulated), 0, million), num("events.destinations", float64(e.Destinations), 10, million),
 		num("events.down_share", e.DownShare, 0, 0.5), num("events.changes", float64(e.Changes), 1, 6000),
 		span("events.deadline", e.Deadline, 500*time.Millisecond, 16*time.Second), span("events.before", e.Before, 500*time.Millisecond, time.Minute),
 		span("events.away", e.Away, 500*time.Millisecond, 5*time.Minute), span("events.cut", e.Cut, 500*time.Millisecond, 5*time.Minute),
@@ -238,7 +238,7 @@
 
 // at is the shape of a point of an axis.
 func (p *Plan) at(axis string, value int) shape {
-	s := shape{real: p.Senders.Real, hollow: p.Base.Hollow, destinations: p.Base.Destinations, changes: p.Base.Changes}
+	s := shape{real: p.Senders.Real, hollow: p.Base.Simulated, destinations: p.Base.Destinations, changes: p.Base.Changes}
 	switch axis {
 	case "destinations":
 		s.destinations = value
@@ -262,10 +262,10 @@
 // eventShape is that of the events.
 func (p *Plan) eventShape() shape {
 	e := &p.Events
-	return shape{real: e.Real, hollow: e.Hollow, destinations: e.Destinations, down: int(float64(e.Destinations) * e.DownShare), changes: e.Changes}
+	return shape{real: e.Real, hollow: e.Simulated, destinations: e.Destinations, down: int(float64(e.Destinations) * e.DownShare), changes: e.Changes}
 }
 
 // room is how many messages a sender may hold: more than any step needs.
 func (p *Plan) room() int {
-	return min(1_000_000, max(slices.Max(append([]int{10_000}, p.Axes.Held...)), slices.Max(append([]int{0}, p.Axes.Owed...)))+10_000)
+	return min(1_000_000, max(slices.Max(append([]int{10_000}, p.Axes.Held...)), slices.Max(append([]int{0}, p.Axes.Unfinished...)))+10_000)
 }
--- a/lab/scale/point.go
+++ b/lab/scale/point.go
@@ -15,7 +15,7 @@
 )
 
 // figure says what a column holds.
-type figure struct{ Name, Unit, About string }
+type figure struct{ Name, Unit, Description string }
 
 // Figures are the columns, in order.
 var Figures = []figure{
@@ -93,7 +93,7 @@
 	if r := sh.of[who]; r != nil {
 		return r
 	}
-	r := &Row{Axis: sh.axis, Value: sh.value, Who: who, Figures: map[string]float64{}}
+	r := &Row{Axis: sh.axis, Value: sh.value, Subject: who, Figures: map[string]float64{}}
 	sh.rows, sh.of[who] = append(sh.rows, r), r
 	return r
 }
@@ -105,7 +105,7 @@
 	for _, r := range sh.rows {
 		out = append(out, *r)
 	}
-	slices.SortStableFunc(out, func(a, b Row) int { return order(a.Who) - order(b.Who) })
+	slices.SortStableFunc(out, func(a, b Row) int { return order(a.Subject) - order(b.Subject) })
 	return out
 }
 
@@ -115,8 +115,8 @@
 
 // fail notes why a row could not be measured, the first reason.
 func (r *Row) fail(err error) {
-	if err != nil && r.Failed == "" {
-		r.Failed = err.Error()
+	if err != nil && r.Failure == "" {
+		r.Failure = err.Error()
 	}
 }
 
@@ -127,7 +127,7 @@
 	var wg sync.WaitGroup
 	for _, s := range st.senders {
 		row := sh.row(name(s))
-		if row.Failed != "" {
+		if row.Failure != "" {
 			continue
 		}
 		wg.Go(func() {
@@ -148,8 +148,8 @@
 	within, settle, window := r.plan.Within.D(), r.plan.Settle.D(), r.plan.Window.D()
 	st.each(sh, func(s *sender, row *Row) error { return r.begin(st, s, row, "", within) })
 	st.startAllHollow(sh, within)
-	if !slices.ContainsFunc(sh.rows, func(r *Row) bool { return r != disc && r.Failed == "" }) { // nobody is there to be measured
-		disc.Failed = "no sender has the list"
+	if !slices.ContainsFunc(sh.rows, func(r *Row) bool { return r != disc && r.Failure == "" }) { // nobody is there to be measured
+		disc.Failure = "no sender has the list"
 		return sh.all()
 	}
 	if n := st.shape.held + st.shape.owed; n > 0 {
@@ -361,7 +361,7 @@
 	defer stop()
 	var wg sync.WaitGroup
 	for _, s := range st.senders {
-		if sh.row(name(s)).Failed == "" {
+		if sh.row(name(s)).Failure == "" {
 			wg.Go(func() { st.traffic(ctx, s, r.plan.Base.Messages, 2*time.Second) })
 		}
 	}
@@ -377,7 +377,7 @@
 	for _, h := range st.hollow {
 		h.snapshot(steps)
 	}
-	if row := sh.row("hollow"); len(st.hollow) > 0 && row.Failed == "" {
+	if row := sh.row("hollow"); len(st.hollow) > 0 && row.Failure == "" {
 		q := func(p float64) float64 { return float64(steps.ValueAtQuantile(p)) / 1000 }
 		row.Figures["step_p50"], row.Figures["step_p99"], row.Figures["step_max"] = q(50), q(99), float64(steps.Max())/1000
 		put(row, st.book.delays(0, false, -1, time.Now()))
--- a/lab/scale/run.go
+++ b/lab/scale/run.go
@@ -21,8 +21,8 @@
 type Row struct {
 	Axis    string
 	Value   int    // of the axis; 0 for events
-	Who     string // r0, r1, ... for real senders, "hollow" for all hollow ones, "discovery"; or an event's name
-	Failed  string // why it could not be measured
+	Subject string // r0, r1, ... for real senders, "hollow" for all hollow ones, "discovery"; or an event's name
+	Failure string // why it could not be measured
 	Verdict string // the judge's, of an event
 	Figures map[string]float64
 }
@@ -58,7 +58,7 @@
 	if len(o.Axes) == 0 {
 		o.Axes = played
 	}
-	if err := p.Fits(m, o.Axes); err != nil {
+	if err := p.CheckResources(m, o.Axes); err != nil {
 		return err
 	}
 	path, err := filepath.Abs(o.Program)
@@ -128,7 +128,7 @@
 		if who == "" {
 			who = "step"
 		}
-		rows = append(rows, Row{Axis: axis, Value: value, Who: who, Failed: err.Error()})
+		rows = append(rows, Row{Axis: axis, Value: value, Subject: who, Failure: err.Error()})
 	}
 	if ctx.Err() != nil { // a step that was broken off measured nothing
 		return
@@ -136,7 +136,7 @@
 	r.rows = append(r.rows, rows...)
 	failed := 0
 	for _, row := range rows {
-		if row.Failed != "" {
+		if row.Failure != "" {
 			failed++
 		}
 	}
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -61,7 +61,7 @@
 	out := map[string]Row{}
 	for _, r := range rows {
 		if r.Axis == axis && r.Value == value {
-			out[r.Who] = r
+			out[r.Subject] = r
 		}
 	}
 	return out
@@ -89,8 +89,8 @@
 	}
 	t.Logf("took %v", time.Since(begun).Round(100*time.Millisecond))
 	for _, r := range rows {
-		if r.Failed != "" {
-			t.Errorf("%s %d, %s: failed: %s", r.Axis, r.Value, r.Who, r.Failed)
+		if r.Failure != "" {
+			t.Errorf("%s %d, %s: failed: %s", r.Axis, r.Value, r.Subject, r.Failure)
 		}
 	}
 	for _, axis := range axisNames {
@@ -104,7 +104,7 @@
 		}
 	}
 	for _, r := range rows {
-		if f := r.Figures; r.Who == "r0" && (f["resident"] <= 0 || f["heap"] <= 0 || f["resident"] < f["heap_live"]) {
+		if f := r.Figures; r.Subject == "r0" && (f["resident"] <= 0 || f["heap"] <= 0 || f["resident"] < f["heap_live"]) {
 			t.Errorf("%s %d: a real sender without its memory: %v", r.Axis, r.Value, f)
 		}
 	}
@@ -142,11 +142,11 @@
 	within("control over hollow senders", ratio("hollow", "discovery", "control_busy"), grows/4, grows*2)
 	within("control over changes", ratio("changes", "real", "control_busy"), grows/4, grows*2)
 	within("memory over messages owed", ratio("owed", "real", "restart_resident"), 1, grows*2)
-	if f, ok := find(Fits(rows), "destinations", "real", "start_control"); !ok || f.Shape != Line || math.Abs(f.Off()) > 0.1 {
+	if f, ok := find(FitRows(rows), "destinations", "real", "start_control"); !ok || f.Shape != Linear || math.Abs(f.RelativeError()) > 0.1 {
 		t.Errorf("the control of the largest list is not predicted: %+v", f)
 	}
-	out := &Folder{Path: t.TempDir(), Plan: p, Text: text}
-	out.Add(p.played(), rows)
+	out := &Folder{Path: t.TempDir(), Plan: p, PlanText: text}
+	out.ReplaceRows(p.played(), rows)
 	if err := out.Save(); err != nil {
 		t.Error(err)
 	}
@@ -158,7 +158,7 @@
 }
 
 func find(fits []Fit, axis, who, figure string) (Fit, bool) {
-	i := slices.IndexFunc(fits, func(f Fit) bool { return f.Axis == axis && f.Who == who && f.Figure == figure })
+	i := slices.IndexFunc(fits, func(f Fit) bool { return f.Axis == axis && f.Subject == who && f.Figure == figure })
 	if i < 0 {
 		return Fit{}, false
 	}
@@ -169,11 +169,11 @@
 func tiny(axis string) *Plan {
 	p := Default()
 	p.Settle, p.Window, p.Within = 0, duration(100*time.Millisecond), duration(time.Second)
-	p.Base.Destinations, p.Base.Hollow, p.Base.Changes = 50, 2, 600
+	p.Base.Destinations, p.Base.Simulated, p.Base.Changes = 50, 2, 600
 	p.Axes.Destinations = []int{50, 60, 70, 80}
 	if axis == EventsAxis {
 		p.Axes.Destinations, p.Events.Play = nil, []string{"cut_off"}
-		p.Events.Real, p.Events.Hollow, p.Events.Destinations = 2, 2, 50
+		p.Events.Real, p.Events.Simulated, p.Events.Destinations = 2, 2, 50
 		p.Events.Before, p.Events.Cut, p.Events.Deadline = duration(500*time.Millisecond), duration(500*time.Millisecond), duration(500*time.Millisecond)
 	}
 	return p
@@ -192,14 +192,14 @@
 		t.Fatal(err)
 	}
 	first := one(rows, "destinations", 50)
-	if r := first["r1"]; !strings.Contains(r.Failed, "the process died: signal: killed") {
+	if r := first["r1"]; !strings.Contains(r.Failure, "the process died: signal: killed") {
 		t.Errorf("the row of the one that died: %+v", r)
 	}
-	if r := first["r0"]; r.Failed != "" || r.Figures["resident"] == 0 {
+	if r := first["r0"]; r.Failure != "" || r.Figures["resident"] == 0 {
 		t.Errorf("the row of the other: %+v", r)
 	}
 	for _, v := range []int{60, 70, 80} {
-		if r := one(rows, "destinations", v)["r1"]; r.Failed != "" || r.Figures["resident"] == 0 {
+		if r := one(rows, "destinations", v)["r1"]; r.Failure != "" || r.Figures["resident"] == 0 {
 			t.Errorf("the row of a later point: %+v", r)
 		}
 	}
@@ -209,7 +209,7 @@
 			time.AfterFunc(700*time.Millisecond, func() { syscall.Kill(s.pid(), syscall.SIGKILL) })
 		}
 	}}, machine)
-	if r := one(rows, EventsAxis, 0)["cut_off"]; err != nil || !strings.Contains(r.Failed, "the process died") || r.Verdict != "not judged" {
+	if r := one(rows, EventsAxis, 0)["cut_off"]; err != nil || !strings.Contains(r.Failure, "the process died") || r.Verdict != "not judged" {
 		t.Errorf("%v, %+v", err, r)
 	}
 }
@@ -222,13 +222,13 @@
 			t.Fatal(err)
 		}
 		p := tiny("destinations")
-		p.Base.Hollow = 0
+		p.Base.Simulated = 0
 		rows, err := play(t, t.Context(), p, Options{Program: path}, machine)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, v := range p.Axes.Destinations {
-			if r := one(rows, "destinations", v)["r0"]; !strings.Contains(r.Failed, want) {
+			if r := one(rows, "destinations", v)["r0"]; !strings.Contains(r.Failure, want) {
 				t.Errorf("%s, %d: %+v, want %q", script, v, r, want)
 			}
 		}
@@ -242,7 +242,7 @@
 		t.Fatal(err)
 	}
 	for _, v := range []int{50, 60, 70, 80} {
-		if r := one(rows, "destinations", v)["step"]; !strings.Contains(r.Failed, "given up: ") || !strings.Contains(r.Failed, "half of this machine's memory is 32 MB") {
+		if r := one(rows, "destinations", v)["step"]; !strings.Contains(r.Failure, "given up: ") || !strings.Contains(r.Failure, "half of this machine's memory is 32 MB") {
 			t.Errorf("%d: %+v", v, r)
 		}
 	}
@@ -325,7 +325,7 @@
 	for _, name := range []string{"scale-small.toml", "scale-large.toml", "scale-held.toml"} {
 		p, err := Load("../plans/" + name)
 		if err == nil {
-			err = p.Fits(Machine{Memory: 20 << 30, Descriptors: 20_000, Cores: 8}, p.played())
+			err = p.CheckResources(Machine{Memory: 20 << 30, Descriptors: 20_000, Cores: 8}, p.played())
 		}
 		if err != nil {
 			t.Error(err)
@@ -342,16 +342,16 @@
 		}
 		return fit("a", "real", "f", xs, ys)
 	}
-	if f := at(func(x float64) float64 { return 5 + 3*x }); f.Shape != Line || math.Abs(f.Slope-3) > 1e-9 || math.Abs(f.Base-5) > 1e-9 || math.Abs(f.Off()) > 1e-9 || f.HeldOut != 16 || f.Measured != 53 {
+	if f := at(func(x float64) float64 { return 5 + 3*x }); f.Shape != Linear || math.Abs(f.Slope-3) > 1e-9 || math.Abs(f.Intercept-5) > 1e-9 || math.Abs(f.RelativeError()) > 1e-9 || f.HeldOut != 16 || f.Measured != 53 {
 		t.Errorf("a line: %+v", f)
 	}
-	if f := at(func(x float64) float64 { return math.Exp(x) }); f.Shape != NoLine || !math.IsNaN(f.Predicted) {
+	if f := at(func(x float64) float64 { return math.Exp(x) }); f.Shape != Nonlinear || !math.IsNaN(f.Predicted) {
 		t.Errorf("what is no line is extended: %+v", f)
 	}
-	if f := at(func(x float64) float64 { return 100 + 0.9*x + map[float64]float64{2: 2, 4: -3, 8: 1}[x] }); f.Shape != NoLine || f.Residual > offLine {
+	if f := at(func(x float64) float64 { return 100 + 0.9*x + map[float64]float64{2: 2, 4: -3, 8: 1}[x] }); f.Shape != Nonlinear || f.MaxResidual > offLine {
 		t.Errorf("a trend in noise: %+v", f)
 	}
-	if f := at(func(float64) float64 { return 0 }); f.Shape != Flat || f.Predicted != 0 || !math.IsNaN(f.Off()) {
+	if f := at(func(float64) float64 { return 0 }); f.Shape != Flat || f.Predicted != 0 || !math.IsNaN(f.RelativeError()) {
 		t.Errorf("nothing at all: %+v", f)
 	}
 	if f := at(func(x float64) float64 { return 100 + 5*math.Mod(x, 3) }); f.Shape != Flat || f.Slope != 0 || f.Predicted < 100 || f.Predicted > 110 {
@@ -362,20 +362,20 @@
 			return 100
 		}
 		return x
-	}); f.Shape != Line || math.Abs(f.Off()+0.84) > 1e-9 {
+	}); f.Shape != Linear || math.Abs(f.RelativeError()+0.84) > 1e-9 {
 		t.Errorf("a prediction that is off: %+v", f)
 	}
-	if f := fit("a", "real", "f", []float64{1, 1, 2, 3}, []float64{1, 1, 2, 3}); f.Shape != Few || !math.IsNaN(f.Predicted) {
+	if f := fit("a", "real", "f", []float64{1, 1, 2, 3}, []float64{1, 1, 2, 3}); f.Shape != TooFewPoints || !math.IsNaN(f.Predicted) {
 		t.Errorf("three points: %+v", f)
 	}
 	var rows []Row
 	for _, v := range []int{40, 10, 30, 20} {
 		for n := range 2 {
-			rows = append(rows, Row{Axis: "held", Value: v, Who: fmt.Sprint("r", n), Figures: map[string]float64{"intake": float64(v)}})
+			rows = append(rows, Row{Axis: "held", Value: v, Subject: fmt.Sprint("r", n), Figures: map[string]float64{"intake": float64(v)}})
 		}
-		rows = append(rows, Row{Axis: "held", Value: v + 1, Who: "r0", Failed: "why", Figures: map[string]float64{"intake": 1e9}})
+		rows = append(rows, Row{Axis: "held", Value: v + 1, Subject: "r0", Failure: "why", Figures: map[string]float64{"intake": 1e9}})
 	}
-	if f, ok := find(Fits(rows), "held", "real", "intake"); !ok || f.Points != 4 || f.Samples != 8 || f.Predicted != 40 {
+	if f, ok := find(FitRows(rows), "held", "real", "intake"); !ok || f.Points != 4 || f.Samples != 8 || f.Predicted != 40 {
 		t.Errorf("the rows' fit: %+v", f)
 	}
 }
@@ -391,8 +391,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Add([]string{EventsAxis}, []Row{{Axis: EventsAxis, Who: "cut_off", Verdict: "kept", Figures: map[string]float64{"lost": 0, "taken": 12}}})
-	f.Add([]string{"held"}, []Row{{Axis: "held", Value: 1, Who: "r0", Figures: map[string]float64{"intake": 1.5}}, {Axis: "held", Value: 2, Who: "r0", Failed: "a, \"b\"", Figures: map[string]float64{}}})
+	f.ReplaceRows([]string{EventsAxis}, []Row{{Axis: EventsAxis, Subject: "cut_off", Verdict: "kept", Figures: map[string]float64{"lost": 0, "taken": 12}}})
+	f.ReplaceRows([]string{"held"}, []Row{{Axis: "held", Value: 1, Subject: "r0", Figures: map[string]float64{"intake": 1.5}}, {Axis: "held", Value: 2, Subject: "r0", Failure: "a, \"b\"", Figures: map[string]float64{}}})
 	if err := f.Save(); err != nil {
 		t.Fatal(err)
 	}
@@ -400,10 +400,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(again.Rows) != 3 || again.Rows[0].Axis != "held" || again.Rows[0].Figures["intake"] != 1.5 || again.Rows[1].Failed != "a, \"b\"" || again.Rows[2].Verdict != "kept" {
+	if len(again.Rows) != 3 || again.Rows[0].Axis != "held" || again.Rows[0].Figures["intake"] != 1.5 || again.Rows[1].Failure != "a, \"b\"" || again.Rows[2].Verdict != "kept" {
 		t.Errorf("read back: %+v", again.Rows)
 	}
-	again.Add([]string{"held"}, []Row{{Axis: "held", Value: 9, Who: "r0", Figures: map[string]float64{}}})
+	again.ReplaceRows([]string{"held"}, []Row{{Axis: "held", Value: 9, Subject: "r0", Figures: map[string]float64{}}})
 	if len(again.Rows) != 2 || again.Rows[0].Value != 9 {
 		t.Errorf("played again: %+v", again.Rows)
 	}
--- a/lab/scale/stage.go
+++ b/lab/scale/stage.go
@@ -87,7 +87,7 @@
 	if st.set, st.names, err = settings.DecodeChecked(text, r.plan.Seed); err != nil {
 		return st, err
 	}
-	if st.dests, err = newDestinations(r.site.destinations, r.site.none, r.plan.Base.Listed, st.book.arrived); err != nil {
+	if st.dests, err = newDestinations(r.site.destinations, r.site.none, r.plan.Base.ListedRate, st.book.arrived); err != nil {
 		return st, err
 	}
 	st.disc = newDiscovery(st.entries(), st.book.noticed)
@@ -155,7 +155,7 @@
 
 // startHollow starts the hollow sender of a number, which may have been one before.
 func (st *stage) startHollow(i int) {
-	h := startHollow(i, st.gates[st.shape.real+i], st.set, st.names, st.plan.Seed, st.plan.Base.HollowMakes, 16*time.Second, st.dests.isOpen, st.book.heard)
+	h := startHollow(i, st.gates[st.shape.real+i], st.set, st.names, st.plan.Seed, st.plan.Base.SimulatedMessages, 16*time.Second, st.dests.isOpen, st.book.heard)
 	if i < len(st.hollow) {
 		st.hollow[i] = h
 	} else {
