--- a/cmd/eiderlab/rig.go
+++ b/cmd/eiderlab/rig.go
@@ -40,17 +40,17 @@
 				return err
 			}
 			if crowd > 0 {
-				p.Crowd = crowd
+				p.IdleConns = crowd
 			}
 			machine, err := scale.ThisMachine()
 			if err != nil {
 				return err
 			}
-			if err := p.Fits(s, machine); err != nil {
+			if err := p.CheckResources(s, machine); err != nil {
 				return err
 			}
-			if o.Keep = out; out == "" {
-				o.Keep = filepath.Join("results", "rig")
+			if o.RecordsDir = out; out == "" {
+				o.RecordsDir = filepath.Join("results", "rig")
 			}
 			var broken []uint64
 			var margins []float64
@@ -59,12 +59,12 @@
 				r, err := rig.Run(c.Context(), p, s, o)
 				if r != nil {
 					margins = append(margins, r.Margins...)
-					err = errors.Join(err, showRig(r, o.Keep))
+					err = errors.Join(err, showRig(r, o.RecordsDir))
 				}
 				if err != nil {
 					return err
 				}
-				if len(r.Breaks) > 0 {
+				if len(r.Violations) > 0 {
 					broken = append(broken, o.Seed)
 				}
 				o.Seed++
@@ -102,9 +102,9 @@
 		return err
 	}
 	fmt.Printf("seed %d: %d handed in, %d taken, %d outages, %d fallen, %d breaks, signals %v, clients late by %.1f ms (p99), receivers by %.1f ms at most\n",
-		r.Seed, r.Handed, r.Taken, r.Outages, len(r.Falls), len(r.Breaks), r.Signals, r.LateLoad, r.Lag)
+		r.Seed, r.Submitted, r.Accepted, r.Outages, len(r.Overloads), len(r.Violations), r.Signals, r.ClientDelayP99Ms, r.ReceiverLagMs)
 	fmt.Println(" ", margin.Summarize(slices.Clone(r.Margins)))
-	for _, b := range r.Breaks[:min(len(r.Breaks), 10)] {
+	for _, b := range r.Violations[:min(len(r.Violations), 10)] {
 		fmt.Printf("  %s rule %s, sender %d, message %s: %s\n", b.At.Format("15:04:05.000"), b.Rule, b.Sender, b.ID, b.Text)
 	}
 	return nil
--- a/cmd/eiderlab/sockets.go
+++ b/cmd/eiderlab/sockets.go
@@ -45,12 +45,12 @@
 			if err != nil {
 				return err
 			}
-			fmt.Printf("discovery on %s, %d endpoints of %d destinations\n", v.Discovery(), v.Endpoints(), s.DestinationCount())
-			if skipped := live.Skipped(s); len(skipped) > 0 {
+			fmt.Printf("discovery on %s, %d endpoints of %d destinations\n", v.DiscoveryAddr(), v.ListenerCount(), s.DestinationCount())
+			if skipped := live.SkippedTroubles(s); len(skipped) > 0 {
 				fmt.Println("not played here:", strings.Join(skipped, ", "))
 			}
 			if config != "" {
-				text, err := live.Config(s, "n1", listen, v.Discovery())
+				text, err := live.Config(s, "n1", listen, v.DiscoveryAddr())
 				if err != nil {
 					return err
 				}
@@ -83,17 +83,17 @@
 	t := chart.Table{Head: []string{"receivers saw", ""}}
 	add := func(name string, x int) { t.Rows = append(t.Rows, []string{name, strconv.Itoa(x)}) }
 	add("connections", n.Connections)
-	add("of them refused", n.Refused)
+	add("of them refused", n.ConnectionsRefused)
 	add("calls", n.Calls)
 	for _, name := range []string{"served", "turned away", "failed", "reset", "served, answer lost", "given up"} {
 		add("calls "+name, n.Outcomes[name])
 	}
 	add("messages that took effect", n.Messages)
 	add("repeats of such", n.Repeats)
-	add("effects doubled that must not be", n.Doubled)
+	add("effects doubled that must not be", n.DuplicateEffects)
 	add("notices: dead", n.Dead)
 	add("notices: bounced", n.Bounced)
-	add("units fallen over", n.Fallen)
+	add("units fallen over", n.UnitsOverloaded)
 	printTable(t)
 	return writeJSON(out, n)
 }
@@ -143,9 +143,9 @@
 	l.flags(c)
 	c.Flags().StringSliceVar(&o.Targets, "target", []string{"127.0.0.1:9000"}, "addresses of senders, on loopback")
 	c.Flags().Uint64Var(&o.Seed, "seed", 1, "seed of the day")
-	c.Flags().IntVar(&o.Body, "body", 200, "bytes of a message")
-	c.Flags().IntVar(&o.Conns, "conns", 256, "connections to one target at most")
-	c.Flags().DurationVar(&o.Wait, "answer-within", 400*time.Millisecond, "how long a client waits for its answer")
+	c.Flags().IntVar(&o.BodyBytes, "body", 200, "bytes of a message")
+	c.Flags().IntVar(&o.MaxConns, "conns", 256, "connections to one target at most")
+	c.Flags().DurationVar(&o.AnswerTimeout, "answer-within", 400*time.Millisecond, "how long a client waits for its answer")
 	c.Flags().StringVar(&out, "out", "", "folder for figures and charts")
 	return c
 }
@@ -167,22 +167,22 @@
 func showLoad(s *scenario.Scenario, r *live.LoadResult, out string) error {
 	t := chart.Table{Title: "Load", Head: []string{"load", ""}}
 	add := func(name, format string, x any) { t.Rows = append(t.Rows, []string{name, fmt.Sprintf(format, x)}) }
-	add("first tries", "%d", r.First)
-	add("later tries", "%d", r.Again)
-	add("taken (202)", "%d", r.Taken)
-	add("taken a second", "%.0f", float64(r.Taken)/max(r.Seconds, 1e-9))
+	add("first tries", "%d", r.FirstTries)
+	add("later tries", "%d", r.LaterTries)
+	add("taken (202)", "%d", r.Accepted)
+	add("taken a second", "%.0f", float64(r.Accepted)/max(r.Seconds, 1e-9))
 	add("refused (429, 503)", "%d", r.Refused)
 	add("other answers", "%d", r.Failed)
 	add("no answer in time", "%d", r.NoAnswer)
-	add("connections opened", "%d", r.Opened)
+	add("connections opened", "%d", r.ConnectionsOpened)
 	add("p50, ms", "%.2f", r.P50)
 	add("p90, ms", "%.2f", r.P90)
 	add("p99, ms", "%.2f", r.P99)
 	add("p99.9, ms", "%.2f", r.P999)
 	add("longest, ms", "%.2f", r.Max)
-	add("requests begun late by (p99), ms", "%.2f", r.Late99)
+	add("requests begun late by (p99), ms", "%.2f", r.StartDelayP99)
 	printTable(t)
-	if r.Late99 > 5 {
+	if r.StartDelayP99 > 5 {
 		fmt.Println("requests were begun late: this machine could not keep the schedule, and times hold its share too")
 	}
 	if out == "" {
@@ -221,7 +221,7 @@
 	return []*chart.Chart{
 		{Title: s.Name + ": answers", X: "time, s", Y: "requests a second", Zero: true, Bands: bands(s), Lines: []chart.Line{
 			line("planned", func(w live.LoadWindow) float64 { return float64(w.Planned) }),
-			line("taken", func(w live.LoadWindow) float64 { return float64(w.Taken) }),
+			line("taken", func(w live.LoadWindow) float64 { return float64(w.Accepted) }),
 			line("refused", func(w live.LoadWindow) float64 { return float64(w.Refused) }),
 			line("unheard or failed", func(w live.LoadWindow) float64 { return float64(w.NoAnswer + w.Failed) })}},
 		{Title: s.Name + ": time to the answer", X: "time, s", Y: "ms, from the planned time", LogY: true, Bands: bands(s), Lines: []chart.Line{
--- a/lab/live/connections.go
+++ b/lab/live/connections.go
@@ -59,18 +59,18 @@
 		nc.Close()
 	}
 	ok := v.loop.Do(func() {
-		if conn, full, silent = ep.Connect(pool, v.loop.Q.Now()); conn != nil {
+		if conn, full, silent = ep.Connect(pool, v.loop.Queue.Now()); conn != nil {
 			conn.OnClose = reset
 		}
 		if v.watch != nil {
-			v.watch.Connected(sender, ep, conn != nil || silent)
+			v.watch.ConnectionOpened(sender, ep, conn != nil || silent)
 		}
 	})
 	if !ok {
 		return
 	}
 	if conn == nil && !full && !silent {
-		v.count(func(c *Counts) { c.Refused++ })
+		v.count(func(c *Counts) { c.ConnectionsRefused++ })
 		reset()
 		return
 	}
@@ -86,7 +86,7 @@
 	unread := false
 	defer func() {
 		if unread && v.watch != nil {
-			v.loop.Do(func() { v.watch.GivenUp(sender, ep, nil) })
+			v.loop.Do(func() { v.watch.CallAbandoned(sender, ep, nil) })
 		}
 	}()
 	for r := range requests {
@@ -95,7 +95,7 @@
 			continue
 		}
 		if full {
-			v.count(func(c *Counts) { c.Refused++ })
+			v.count(func(c *Counts) { c.ConnectionsRefused++ })
 			_, _ = nc.Write(http1.AppendResponse(nil, 503, http1.Header{{Name: "Connection", Value: "close"}}, nil))
 			return
 		}
@@ -149,16 +149,16 @@
 	outcome := make(chan model.Outcome, 1)
 	c.Done = func(o model.Outcome) {
 		if v.watch != nil {
-			v.watch.Answered(sender, ep, c, o)
+			v.watch.CallAnswered(sender, ep, c, o)
 		}
 		outcome <- o
 	}
 	came := time.Now()
 	if !v.loop.Do(func() {
 		v.waited(time.Since(came))
-		c.Sent = v.loop.Q.Now()
+		c.Sent = v.loop.Queue.Now()
 		if v.watch != nil {
-			v.watch.Called(sender, ep, c)
+			v.watch.CallReceived(sender, ep, c)
 		}
 		ep.Receive(c, conn)
 	}) {
@@ -174,7 +174,7 @@
 				c.Abandoned = true
 				ep.CallAbandoned(c)
 				if v.watch != nil {
-					v.watch.GivenUp(sender, ep, c)
+					v.watch.CallAbandoned(sender, ep, c)
 				}
 			})
 			v.count(func(n *Counts) { n.Outcomes["given up"]++ })
@@ -192,7 +192,7 @@
 
 // Lag is the longest that a call has waited until the receivers took it in. What waits across the end of an outage counts as
 // sent after it: a break with a lag of many milliseconds may be this machine's doing.
-func (v *Receivers) Lag() time.Duration {
+func (v *Receivers) MaxLag() time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.lag
--- a/lab/live/live_test.go
+++ b/lab/live/live_test.go
@@ -80,19 +80,19 @@
 	ended := make(chan struct{})
 	go func() { defer close(ended); receivers.Run(ctx) }()
 	t.Cleanup(func() { stop(); testkit.Receive(t, ended, "end of the receivers") })
-	addr := startDaemon(t, binary, s, receivers.Discovery())
+	addr := startDaemon(t, binary, s, receivers.DiscoveryAddr())
 
-	loader, err := NewLoad(s, LoadOptions{Targets: []string{addr}, Seed: 4, Name: "t", Body: 64, Wait: 2 * time.Second})
+	loader, err := NewLoad(s, LoadOptions{Targets: []string{addr}, Seed: 4, IDPrefix: "t", BodyBytes: 64, AnswerTimeout: 2 * time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := loader.Run(context.Background())
-	if r.Taken < r.First/2 || r.First < 200 {
-		t.Fatalf("%d of %d taken: too few to tell anything", r.Taken, r.First)
+	if r.Accepted < r.FirstTries/2 || r.FirstTries < 200 {
+		t.Fatalf("%d of %d taken: too few to tell anything", r.Accepted, r.FirstTries)
 	}
 	testkit.Eventually(t, "did everything taken end", func() bool {
-		done := receivers.Ended()
-		for _, id := range r.TakenIDs {
+		done := receivers.FinishedIDs()
+		for _, id := range r.AcceptedIDs {
 			if !done[id] {
 				return false
 			}
@@ -100,10 +100,10 @@
 		return true
 	})
 	n := receivers.Counts()
-	if n.Doubled > 0 || n.Messages == 0 || n.Outcomes["turned away"]+n.Outcomes["reset"]+n.Outcomes["served, answer lost"] == 0 {
+	if n.DuplicateEffects > 0 || n.Messages == 0 || n.Outcomes["turned away"]+n.Outcomes["reset"]+n.Outcomes["served, answer lost"] == 0 {
 		t.Errorf("%+v: payments doubled, or no trouble was met", n)
 	}
-	t.Logf("load %+v\nreceivers %+v", r.Status, n)
+	t.Logf("load %+v\nreceivers %+v", r.ByStatus, n)
 }
 
 // startDaemon runs the daemon until the test ends and returns its address once it is ready.
@@ -221,13 +221,13 @@
 	go func() { _ = server.Serve(ln) }() // ends with Close
 	t.Cleanup(func() { server.Close() })
 	s := load(t, "../scenarios/calm.toml", "run.length", "1s", "traffic.rate", "200", "traffic.clumps", "0")
-	loader, err := NewLoad(s, LoadOptions{Targets: []string{ln.Addr().String()}, Seed: 1, Conns: 4, Wait: 3 * time.Second})
+	loader, err := NewLoad(s, LoadOptions{Targets: []string{ln.Addr().String()}, Seed: 1, MaxConns: 4, AnswerTimeout: 3 * time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := loader.Run(context.Background())
-	if r.First < 120 || r.NoAnswer > 0 || r.Taken != r.First {
-		t.Fatalf("%d handed in, %d taken, %d unheard; want all of about 200 taken", r.First, r.Taken, r.NoAnswer)
+	if r.FirstTries < 120 || r.NoAnswer > 0 || r.Accepted != r.FirstTries {
+		t.Fatalf("%d handed in, %d taken, %d unheard; want all of about 200 taken", r.FirstTries, r.Accepted, r.NoAnswer)
 	}
 	// With a closed loop over four connections only four requests would have seen the stall, and the median none of it.
 	if r.P50 < 20 {
--- a/lab/live/load.go
+++ b/lab/live/load.go
@@ -28,18 +28,18 @@
 
 // LoadOptions are what a load is given beside its scenario.
 type LoadOptions struct {
-	Targets []string // addresses of senders; sender i of the scenario is target i modulo their number
-	Seed    uint64
-	Name    string        // part of the messages' names, so that two loads do not share any
-	Body    int           // bytes of a message
-	Conns   int           // connections to one target at most; 0: 256
-	Wait    time.Duration // for an answer; 0: 400 ms, as the platform's clients wait
-	Log     func(string)
-	Handed  func(Handed) // told of each request once it is over; may be called by several at once
+	Targets       []string // addresses of senders; sender i of the scenario is target i modulo their number
+	Seed          uint64
+	IDPrefix      string        // part of the messages' names, so that two loads do not share any
+	BodyBytes     int           // bytes of a message
+	MaxConns      int           // connections to one target at most; 0: 256
+	AnswerTimeout time.Duration // for an answer; 0: 400 ms, as the platform's clients wait
+	Log           func(string)
+	OnRequestEnd  func(RequestRecord) // told of each request once it is over; may be called by several at once
 }
 
 // Handed is one request and what came of it.
-type Handed struct {
+type RequestRecord struct {
 	Sender   int
 	ID       string
 	Class    int
@@ -54,7 +54,7 @@
 // LoadWindow is a second of a load.
 type LoadWindow struct {
 	Planned  int     `json:"planned"` // requests that fell due
-	Taken    int     `json:"taken"`
+	Accepted int     `json:"taken"`
 	Refused  int     `json:"refused"`
 	Failed   int     `json:"failed"`  // any other answer
 	NoAnswer int     `json:"unheard"` // none in time, or a broken connection
@@ -64,23 +64,23 @@
 
 // LoadResult is what came of a load.
 type LoadResult struct {
-	Seconds  float64        `json:"seconds"`
-	First    int            `json:"first_tries"`
-	Again    int            `json:"later_tries"`
-	Taken    int            `json:"taken"`
-	Refused  int            `json:"refused"`
-	Failed   int            `json:"failed"`
-	NoAnswer int            `json:"unheard"`
-	Status   map[string]int `json:"by_status"`
-	Opened   int            `json:"connections_opened"`
-	P50      float64        `json:"p50_ms"` // from the planned time to the answer, of all that were answered
-	P90      float64        `json:"p90_ms"`
-	P99      float64        `json:"p99_ms"`
-	P999     float64        `json:"p999_ms"`
-	Max      float64        `json:"max_ms"`
-	Late99   float64        `json:"start_p99_ms"` // how late requests were begun: this program's own doing
-	Series   []LoadWindow   `json:"series"`
-	TakenIDs []string       `json:"-"` // names of what was taken
+	Seconds           float64        `json:"seconds"`
+	FirstTries        int            `json:"first_tries"`
+	LaterTries        int            `json:"later_tries"`
+	Accepted          int            `json:"taken"`
+	Refused           int            `json:"refused"`
+	Failed            int            `json:"failed"`
+	NoAnswer          int            `json:"unheard"`
+	ByStatus          map[string]int `json:"by_status"`
+	ConnectionsOpened int            `json:"connections_opened"`
+	P50               float64        `json:"p50_ms"` // from the planned time to the answer, of all that were answered
+	P90               float64        `json:"p90_ms"`
+	P99               float64        `json:"p99_ms"`
+	P999              float64        `json:"p999_ms"`
+	Max               float64        `json:"max_ms"`
+	StartDelayP99     float64        `json:"start_p99_ms"` // how late requests were begun: this program's own doing
+	Series            []LoadWindow   `json:"series"`
+	AcceptedIDs       []string       `json:"-"` // names of what was taken
 }
 
 const (
@@ -118,28 +118,28 @@
 	if len(o.Targets) == 0 {
 		return nil, errors.New("a load needs the address of a sender at least")
 	}
-	if o.Conns <= 0 {
-		o.Conns = defaultConns
+	if o.MaxConns <= 0 {
+		o.MaxConns = defaultConns
 	}
-	if o.Wait <= 0 {
-		o.Wait = defaultAnswer
+	if o.AnswerTimeout <= 0 {
+		o.AnswerTimeout = defaultAnswer
 	}
-	if o.Name == "" {
-		o.Name = strconv.FormatInt(time.Now().UnixMilli()%1e9, 36)
+	if o.IDPrefix == "" {
+		o.IDPrefix = strconv.FormatInt(time.Now().UnixMilli()%1e9, 36)
 	}
 	l := &Load{s: s, o: o, loop: NewLoop(), all: hdrhistogram.New(1, longestMicros, 3), late: hdrhistogram.New(1, longestMicros, 3)}
-	l.r.Status = map[string]int{}
+	l.r.ByStatus = map[string]int{}
 	for _, addr := range o.Targets {
 		if err := loopback(addr); err != nil {
 			return nil, err
 		}
-		l.targets = append(l.targets, &target{addr: addr, idle: make(chan net.Conn, o.Conns), room: make(chan struct{}, o.Conns)})
+		l.targets = append(l.targets, &target{addr: addr, idle: make(chan net.Conn, o.MaxConns), room: make(chan struct{}, o.MaxConns)})
 	}
-	l.crowd = client.New(s, o.Seed, &l.loop.Q, (*door)(l), (*books)(l))
-	st := &trouble.Environment{Scenario: playableByClients(s), Queue: &l.loop.Q, Clients: l.crowd, Weights: s.DestinationWeights(),
+	l.crowd = client.New(s, o.Seed, &l.loop.Queue, (*door)(l), (*books)(l))
+	st := &trouble.Environment{Scenario: playableByClients(s), Queue: &l.loop.Queue, Clients: l.crowd, Weights: s.DestinationWeights(),
 		Units: unitsOf(s), Log: func(format string, args ...any) {
 			if o.Log != nil {
-				o.Log(fmt.Sprintf("%8.3fs ", l.loop.Q.Now().Seconds()) + fmt.Sprintf(format, args...))
+				o.Log(fmt.Sprintf("%8.3fs ", l.loop.Queue.Now().Seconds()) + fmt.Sprintf(format, args...))
 			}
 		}}
 	st.Schedule(o.Seed)
@@ -191,7 +191,7 @@
 	ctx, stop := context.WithTimeout(ctx, length+lingerAfter)
 	defer stop()
 	began := time.Now()
-	l.loop.Q.NewScheduler(0, 1000).At(length+lingerAfter/2, stop)
+	l.loop.Queue.NewScheduler(0, 1000).At(length+lingerAfter/2, stop)
 	l.crowd.Start()
 	l.loop.Run(ctx)
 	l.wg.Wait()
@@ -203,7 +203,7 @@
 	l.r.Seconds = min(time.Since(began), length).Seconds()
 	q := func(p float64) float64 { return float64(l.all.ValueAtQuantile(p)) / 1000 }
 	l.r.P50, l.r.P90, l.r.P99, l.r.P999, l.r.Max = q(50), q(90), q(99), q(99.9), float64(l.all.Max())/1000
-	l.r.Late99 = float64(l.late.ValueAtQuantile(99)) / 1000
+	l.r.StartDelayP99 = float64(l.late.ValueAtQuantile(99)) / 1000
 	for i, h := range l.second {
 		l.r.Series[i].P50, l.r.Series[i].P99 = float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000
 	}
@@ -227,9 +227,9 @@
 // Hand sends a message on its way; how it ends is told later.
 func (d *door) Submit(n int, m *model.Message) (taken, up bool) {
 	l := (*Load)(d)
-	planned := l.loop.At(l.loop.Q.Now())
+	planned := l.loop.RealTime(l.loop.Queue.Now())
 	l.mu.Lock()
-	l.window(l.loop.Q.Now()).Planned++
+	l.window(l.loop.Queue.Now()).Planned++
 	l.mu.Unlock()
 	l.wg.Go(func() { l.hand(n, m, planned) })
 	return true, true
@@ -243,7 +243,7 @@
 func (b *books) MessageSubmitted(time.Duration, *model.Message) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.r.First++
+	b.r.FirstTries++
 }
 
 func (b *books) MessageTurnedAway(time.Duration, *model.Message) {}
@@ -251,7 +251,7 @@
 func (b *books) MessageResubmitted(time.Duration, *model.Message) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.r.Again++
+	b.r.LaterTries++
 }
 
 // window returns the second of a model instant; the caller holds the lock.
@@ -267,10 +267,10 @@
 // hand makes one request and books its answer.
 func (l *Load) hand(n int, m *model.Message, planned time.Time) {
 	t := l.targets[n%len(l.targets)]
-	id := fmt.Sprintf("%s-c%d-%s", l.o.Name, m.Class, m.ID)
+	id := fmt.Sprintf("%s-c%d-%s", l.o.IDPrefix, m.Class, m.ID)
 	resp, begun, err := l.ask(t, id, m, planned)
 	took := time.Since(planned)
-	at := planned.Sub(l.loop.At(0))
+	at := planned.Sub(l.loop.RealTime(0))
 	l.tell(n, id, m, resp, begun, err)
 	l.mu.Lock()
 	w := l.window(at)
@@ -280,16 +280,16 @@
 	case err != nil:
 		l.r.NoAnswer++
 		w.NoAnswer++
-		l.r.Status["none"]++
+		l.r.ByStatus["none"]++
 	default:
-		l.r.Status[strconv.Itoa(resp.Status)]++
+		l.r.ByStatus[strconv.Itoa(resp.Status)]++
 		_ = l.all.RecordValue(micros(took)) // clipped to the histogram's range
 		_ = l.second[int(at/time.Second)].RecordValue(micros(took))
 		switch resp.Status {
 		case 200, 202:
-			l.r.Taken++
-			w.Taken++
-			l.r.TakenIDs = append(l.r.TakenIDs, id)
+			l.r.Accepted++
+			w.Accepted++
+			l.r.AcceptedIDs = append(l.r.AcceptedIDs, id)
 		case 429, 503:
 			l.r.Refused++
 			w.Refused++
@@ -307,10 +307,10 @@
 
 // tell passes a request on to who wants to know of it.
 func (l *Load) tell(n int, id string, m *model.Message, resp *http1.Response, begun time.Time, err error) {
-	if l.o.Handed == nil {
+	if l.o.OnRequestEnd == nil {
 		return
 	}
-	h := Handed{Sender: n % len(l.targets), ID: id, Class: m.Class, Deadline: l.loop.At(m.Deadline), Begun: begun, Over: time.Now()}
+	h := RequestRecord{Sender: n % len(l.targets), ID: id, Class: m.Class, Deadline: l.loop.RealTime(m.Deadline), Begun: begun, Over: time.Now()}
 	if err == nil {
 		h.Status = resp.Status
 	}
@@ -319,7 +319,7 @@
 		h.Written = failure.written
 	}
 	h.TimedOut = errors.Is(err, os.ErrDeadlineExceeded)
-	l.o.Handed(h)
+	l.o.OnRequestEnd(h)
 }
 
 // exchangeError is a request that got no answer.
@@ -343,7 +343,7 @@
 
 // ask makes one request on an idle connection, or on a new one. It waits for leave where all are busy.
 func (l *Load) ask(t *target, id string, m *model.Message, planned time.Time) (resp *http1.Response, begun time.Time, err error) {
-	deadline := planned.Add(l.o.Wait)
+	deadline := planned.Add(l.o.AnswerTimeout)
 	var nc net.Conn
 	select {
 	case nc = <-t.idle:
@@ -370,7 +370,7 @@
 		}
 	}
 	l.mu.Lock()
-	l.r.Opened++
+	l.r.ConnectionsOpened++
 	l.mu.Unlock()
 	nc, err := net.DialTimeout("tcp", t.addr, max(time.Until(deadline), time.Millisecond))
 	if err != nil {
@@ -402,9 +402,9 @@
 	fields := http1.Header{{Name: "Host", Value: t.addr}, {Name: "Req-Id", Value: id}, {Name: "Req-Kind", Value: class.Name},
 		{Name: "Req-Deadline-Ms", Value: strconv.FormatInt(max(left, 1), 10)}, {Name: "Envelope", Value: "dest=" + strconv.Itoa(m.Dest)}}
 	if class.Effect == "keyed" {
-		fields = append(fields, http1.Field{Name: "Idempotency-Key", Value: l.o.Name + "-" + strconv.Itoa(m.FirstTry)})
+		fields = append(fields, http1.Field{Name: "Idempotency-Key", Value: l.o.IDPrefix + "-" + strconv.Itoa(m.FirstTry)})
 	}
-	body := make([]byte, l.o.Body)
+	body := make([]byte, l.o.BodyBytes)
 	for i := range body {
 		body[i] = 'a' + byte(i%26)
 	}
--- a/lab/live/loop.go
+++ b/lab/live/loop.go
@@ -13,7 +13,7 @@
 
 // Loop plays a queue in real time. One goroutine owns the queue and all that hangs on it; others come in through Do.
 type Loop struct {
-	Q     clock.Queue
+	Queue clock.Queue
 	start time.Time
 	do    chan func()
 	done  chan struct{}
@@ -35,7 +35,7 @@
 }
 
 // At is the real time of a model instant.
-func (l *Loop) At(t time.Duration) time.Time { return l.start.Add(t) }
+func (l *Loop) RealTime(t time.Duration) time.Time { return l.start.Add(t) }
 
 // Elapsed is the time since the loop began.
 func (l *Loop) Elapsed() time.Duration { return time.Since(l.start) }
@@ -47,9 +47,9 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		_ = l.Q.Run(time.Since(l.start), math.MaxUint64) // no bound of events: real time is the bound
+		_ = l.Queue.Run(time.Since(l.start), math.MaxUint64) // no bound of events: real time is the bound
 		wait := time.Hour
-		if next, any := l.Q.NextAt(); any {
+		if next, any := l.Queue.NextAt(); any {
 			wait = max(0, next-time.Since(l.start))
 		}
 		timer.Reset(wait)
@@ -57,7 +57,7 @@
 		case <-ctx.Done():
 			return
 		case f := <-l.do:
-			_ = l.Q.Run(time.Since(l.start), math.MaxUint64)
+			_ = l.Queue.Run(time.Since(l.start), math.MaxUint64)
 			f()
 		case <-timer.C:
 		}
--- a/lab/live/observer.go
+++ b/lab/live/observer.go
@@ -24,7 +24,7 @@
 
 func (x *observer) WindowMeasured(u *receiver.Unit, window []receiver.Arrival, allowed float64) {
 	if x.watch != nil {
-		x.watch.Weighed(u, window, allowed)
+		x.watch.WindowMeasured(u, window, allowed)
 	}
 }
 
@@ -40,15 +40,15 @@
 	}
 	v.counts.Repeats++
 	if !repeat && v.s.Classes[m.Class].Effect == "once" {
-		v.counts.Doubled++
+		v.counts.DuplicateEffects++
 	}
 }
 
 func (x *observer) UnitOverloaded(u *receiver.Unit, by map[int]float64) {
 	v := (*Receivers)(x)
 	if v.watch != nil {
-		v.watch.Fell(u, by)
+		v.watch.UnitOverloaded(u, by)
 	}
-	v.count(func(c *Counts) { c.Fallen++ })
-	v.log(fmt.Sprintf("%8.3fs unit %d of destination %d falls over", v.loop.Q.Now().Seconds(), u.Number, u.Dest))
+	v.count(func(c *Counts) { c.UnitsOverloaded++ })
+	v.log(fmt.Sprintf("%8.3fs unit %d of destination %d falls over", v.loop.Queue.Now().Seconds(), u.Number, u.Dest))
 }
--- a/lab/live/receivers.go
+++ b/lab/live/receivers.go
@@ -26,7 +26,7 @@
 
 // Skipped lists the kinds of trouble of a scenario that receivers on sockets cannot play: those of clients, which load
 // plays, and those of senders, which run outside.
-func Skipped(s *scenario.Scenario) []string {
+func SkippedTroubles(s *scenario.Scenario) []string {
 	var out []string
 	for _, t := range s.Troubles {
 		if !onReceivers(t) && !slices.Contains(out, t.Kind) {
@@ -46,30 +46,30 @@
 
 // Counts is what receivers saw.
 type Counts struct {
-	Connections int            `json:"connections"`
-	Refused     int            `json:"connections_refused"`
-	Calls       int            `json:"calls"`
-	Outcomes    map[string]int `json:"outcomes"` // of calls
-	Messages    int            `json:"messages"` // that took effect, each once
-	Repeats     int            `json:"repeats"`  // further times that one took effect
-	Doubled     int            `json:"doubled"`  // of those, such as must not be repeated
-	Notices     int            `json:"notices"`
-	Dead        int            `json:"dead"`
-	Bounced     int            `json:"bounced"`
-	Fallen      int            `json:"units_fallen"`
+	Connections        int            `json:"connections"`
+	ConnectionsRefused int            `json:"connections_refused"`
+	Calls              int            `json:"calls"`
+	Outcomes           map[string]int `json:"outcomes"` // of calls
+	Messages           int            `json:"messages"` // that took effect, each once
+	Repeats            int            `json:"repeats"`  // further times that one took effect
+	DuplicateEffects   int            `json:"doubled"`  // of those, such as must not be repeated
+	Notices            int            `json:"notices"`
+	Dead               int            `json:"dead"`
+	Bounced            int            `json:"bounced"`
+	UnitsOverloaded    int            `json:"units_fallen"`
 }
 
 // Watcher is told what receivers see, with the sender where each sender has doors of its own, else with 0. It is called on
 // the goroutine that plays the receivers and must not wait.
 type Watcher interface {
-	Connected(sender int, ep *receiver.Endpoint, taken bool)
-	Called(sender int, ep *receiver.Endpoint, c *model.Call)
-	Answered(sender int, ep *receiver.Endpoint, c *model.Call, o model.Outcome)
-	GivenUp(sender int, ep *receiver.Endpoint, c *model.Call) // c is nil where nobody read it
-	Listed(e rules.ListUpdate)
+	ConnectionOpened(sender int, ep *receiver.Endpoint, taken bool)
+	CallReceived(sender int, ep *receiver.Endpoint, c *model.Call)
+	CallAnswered(sender int, ep *receiver.Endpoint, c *model.Call, o model.Outcome)
+	CallAbandoned(sender int, ep *receiver.Endpoint, c *model.Call) // c is nil where nobody read it
+	ListPublished(e rules.ListUpdate)
 	Outage(u *receiver.Unit, begins bool)
-	Weighed(u *receiver.Unit, window []receiver.Arrival, allowed float64)
-	Fell(u *receiver.Unit, by map[int]float64)
+	WindowMeasured(u *receiver.Unit, window []receiver.Arrival, allowed float64)
+	UnitOverloaded(u *receiver.Unit, by map[int]float64)
 }
 
 // FleetOptions let receivers tell senders apart: each has a discovery of its own, which lists addresses that no other is told.
@@ -118,7 +118,7 @@
 	v := &Receivers{s: s, loop: NewLoop(), hosts: map[rules.EndpointID]platform.Entry{}, dials: map[rules.EndpointID][]string{},
 		seen: map[string]bool{}, conns: map[net.Conn]bool{}, log: log, doors: o.Senders, watch: o.Watcher}
 	v.counts.Outcomes = map[string]int{}
-	q := &v.loop.Q
+	q := &v.loop.Queue
 	v.reg = registry.New(1, false, s.Registry.Lag.Random(), q, random.Stream(seed, "registry", 0), func(_ int, e rules.ListUpdate) { v.listed(e) })
 	v.site = world.NewReceiverSet(s, seed, q, v.reg, (*observer)(v))
 	for id := rules.EndpointID(1); int(id) <= len(v.site.Endpoints); id++ {
@@ -149,13 +149,13 @@
 			playable.Troubles = append(playable.Troubles, t)
 		}
 	}
-	st := &trouble.Environment{Scenario: &playable, Queue: &v.loop.Q, Registry: v.reg, Weights: v.s.DestinationWeights(),
+	st := &trouble.Environment{Scenario: &playable, Queue: &v.loop.Queue, Registry: v.reg, Weights: v.s.DestinationWeights(),
 		Units: func() []*receiver.Unit { return v.site.Units }, Replace: v.replace,
 		Log: func(format string, args ...any) {
 			for _, d := range v.discs {
 				d.DropListRequests(v.reg.Unreachable > 0)
 			}
-			v.log(fmt.Sprintf("%8.3fs ", v.loop.Q.Now().Seconds()) + fmt.Sprintf(format, args...))
+			v.log(fmt.Sprintf("%8.3fs ", v.loop.Queue.Now().Seconds()) + fmt.Sprintf(format, args...))
 		}}
 	st.Schedule(seed)
 }
@@ -212,7 +212,7 @@
 		v.hosts[x.Endpoint] = h
 	}
 	if v.watch != nil {
-		v.watch.Listed(e)
+		v.watch.ListPublished(e)
 	}
 	for sender, d := range v.discs {
 		d.SetList(v.entries(sender)...)
@@ -233,10 +233,10 @@
 }
 
 // Discovery is where discovery listens, the first sender's where each has one.
-func (v *Receivers) Discovery() string { return v.discs[0].Addr() }
+func (v *Receivers) DiscoveryAddr() string { return v.discs[0].Addr() }
 
 // DiscoveryOf is where a sender's discovery listens.
-func (v *Receivers) DiscoveryOf(sender int) string { return v.discs[sender].Addr() }
+func (v *Receivers) DiscoveryAddrOf(sender int) string { return v.discs[sender].Addr() }
 
 // Notices returns a sender's notices so far, with the times at which they came.
 func (v *Receivers) Notices(sender int) []platform.Notice { return v.discs[sender].TimedNotices() }
@@ -250,7 +250,7 @@
 }
 
 // Endpoints is how many endpoints listen.
-func (v *Receivers) Endpoints() int {
+func (v *Receivers) ListenerCount() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return len(v.lns)
@@ -301,7 +301,7 @@
 }
 
 // Ended returns the names of the messages that took effect or had a notice.
-func (v *Receivers) Ended() map[string]bool {
+func (v *Receivers) FinishedIDs() map[string]bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	out := map[string]bool{}
--- a/lab/rig/judge.go
+++ b/lab/rig/judge.go
@@ -25,7 +25,7 @@
 )
 
 // Break is one broken rule, crash or failed start.
-type Break struct {
+type Violation struct {
 	Rule   string    `json:"rule"`
 	At     time.Time `json:"at"`
 	Sender int       `json:"sender"`
@@ -35,7 +35,7 @@
 
 // message is what is known of one message that clients handed in.
 type message struct {
-	handed    live.Handed
+	handed    live.RequestRecord
 	calls     []*call
 	delivered time.Time
 	noticed   time.Time
@@ -45,18 +45,18 @@
 type records struct {
 	s       *scenario.Scenario
 	w       *watcher
-	handed  []live.Handed
+	handed  []live.RequestRecord
 	notices [][]platform.Notice // by sender
 	lives   [][]span            // by sender
 	ended   time.Time           // of the run
 }
 
 // verdict returns what was broken.
-func (r *records) verdict() (breaks []Break) {
+func (r *records) verdict() (breaks []Violation) {
 	messages := r.join()
 	for _, f := range r.w.falls {
-		if f.Broken {
-			breaks = append(breaks, Break{Rule: judge.RecoveryOverload.String(), At: f.At, Sender: -1, Text: f.String()})
+		if f.RuleBroken {
+			breaks = append(breaks, Violation{Rule: judge.RecoveryOverload.String(), At: f.At, Sender: -1, Text: f.String()})
 		}
 	}
 	for id, m := range messages {
@@ -66,7 +66,7 @@
 	breaks = append(breaks, r.unanswered()...)
 	breaks = append(breaks, r.drained()...)
 	breaks = append(breaks, r.hasty()...)
-	slices.SortFunc(breaks, func(a, b Break) int { return a.At.Compare(b.At) })
+	slices.SortFunc(breaks, func(a, b Violation) int { return a.At.Compare(b.At) })
 	return breaks
 }
 
@@ -84,7 +84,7 @@
 			}
 			m.calls = append(m.calls, c)
 			if c.what == rules.OK && c.Outcome == "served" && m.delivered.IsZero() {
-				m.delivered = c.Over
+				m.delivered = c.EndedAt
 			}
 		}
 	}
@@ -100,10 +100,10 @@
 }
 
 // taken tells whether the answer to a request means that the sender owes the message its end.
-func taken(h live.Handed) bool { return h.Status == 200 || h.Status == 202 }
+func taken(h live.RequestRecord) bool { return h.Status == 200 || h.Status == 202 }
 
 // lost holds rule 1 for a message that was taken on.
-func (r *records) lost(id string, m *message) []Break {
+func (r *records) lost(id string, m *message) []Violation {
 	if !taken(m.handed) {
 		return nil
 	}
@@ -114,9 +114,9 @@
 	}
 	switch {
 	case end.IsZero() && r.ended.After(due):
-		return []Break{{judge.LostMessage.String(), due, m.handed.Sender, id, fmt.Sprintf("taken at %s, due %s, never ended; %d calls", stamp(m.handed.Over), stamp(m.handed.Deadline), len(m.calls))}}
+		return []Violation{{judge.LostMessage.String(), due, m.handed.Sender, id, fmt.Sprintf("taken at %s, due %s, never ended; %d calls", stamp(m.handed.Over), stamp(m.handed.Deadline), len(m.calls))}}
 	case !end.IsZero() && end.After(due):
-		return []Break{{judge.LostMessage.String(), end, m.handed.Sender, id, fmt.Sprintf("ended %v after its time", end.Sub(m.handed.Deadline).Round(time.Millisecond))}}
+		return []Violation{{judge.LostMessage.String(), end, m.handed.Sender, id, fmt.Sprintf("ended %v after its time", end.Sub(m.handed.Deadline).Round(time.Millisecond))}}
 	}
 	return nil
 }
@@ -143,14 +143,14 @@
 }
 
 // doubled holds rule 2: no further call of a message that must not run twice, unless each one before is known not to have run.
-func (r *records) doubled(id string, m *message) []Break {
+func (r *records) doubled(id string, m *message) []Violation {
 	class := r.s.Classes[m.handed.Class]
 	for i, c := range m.calls {
 		for _, before := range m.calls[:i] {
-			mayRun := before.Over.IsZero() || before.Over.After(c.At) || before.Outcome != "refused"
-			late := c.At.Sub(before.At) > class.Window.D()+limitSlack
+			mayRun := before.EndedAt.IsZero() || before.EndedAt.After(c.ReceivedAt) || before.Outcome != "refused"
+			late := c.ReceivedAt.Sub(before.ReceivedAt) > class.Window.D()+limitSlack
 			if mayRun && (class.Effect == "once" || class.Effect == "keyed" && late) {
-				return []Break{{judge.DoubleEffect.String(), c.At, c.Sender, id, fmt.Sprintf("called again %v after a call that may have run (%s)", c.At.Sub(before.At).Round(time.Millisecond), before.Outcome)}}
+				return []Violation{{judge.DoubleEffect.String(), c.ReceivedAt, c.Sender, id, fmt.Sprintf("called again %v after a call that may have run (%s)", c.ReceivedAt.Sub(before.ReceivedAt).Round(time.Millisecond), before.Outcome)}}
 			}
 		}
 	}
@@ -158,12 +158,12 @@
 }
 
 // unanswered finds requests that were written whole and whose connection ended with no answer, though the sender lived on.
-func (r *records) unanswered() (breaks []Break) {
+func (r *records) unanswered() (breaks []Violation) {
 	for _, h := range r.handed {
 		if h.Status != 0 || h.TimedOut || !h.Written || r.killedBetween(h.Sender, h.Begun, h.Over) {
 			continue
 		}
-		breaks = append(breaks, Break{judge.LostMessage.String(), h.Over, h.Sender, h.ID, "read, and its connection ended with no answer"})
+		breaks = append(breaks, Violation{judge.LostMessage.String(), h.Over, h.Sender, h.ID, "read, and its connection ended with no answer"})
 	}
 	return breaks
 }
@@ -176,35 +176,35 @@
 }
 
 // drained holds rule 3.
-func (r *records) drained() (breaks []Break) {
+func (r *records) drained() (breaks []Violation) {
 	grace := r.s.Rules.DrainGrace.D() + limitSlack
 	for _, c := range r.w.calls {
-		if told, yes := r.w.drained[c.Endpoint]; yes && c.At.After(told.Add(grace)) {
-			breaks = append(breaks, Break{judge.DrainIgnored.String(), c.At, c.Sender, c.IDs[0], fmt.Sprintf("sent to endpoint %d %v after it was told of", c.Endpoint, c.At.Sub(told))})
+		if told, yes := r.w.drained[c.Endpoint]; yes && c.ReceivedAt.After(told.Add(grace)) {
+			breaks = append(breaks, Violation{judge.DrainIgnored.String(), c.ReceivedAt, c.Sender, c.IDs[0], fmt.Sprintf("sent to endpoint %d %v after it was told of", c.Endpoint, c.ReceivedAt.Sub(told))})
 		}
 	}
 	return breaks
 }
 
 // hasty holds rule 6: a restart ends a wait.
-func (r *records) hasty() (breaks []Break) {
+func (r *records) hasty() (breaks []Violation) {
 	type from struct{ sender, unit int }
 	waits := map[from]*call{}
 	calls := slices.Clone(r.w.calls)
-	slices.SortStableFunc(calls, func(a, b *call) int { return a.At.Compare(b.At) })
+	slices.SortStableFunc(calls, func(a, b *call) int { return a.ReceivedAt.Compare(b.ReceivedAt) })
 	for i, c := range calls {
 		for j := i - 1; j >= 0 && j > i-400; j-- { // a wait lasts seconds; this many calls back is longer
-			if b := calls[j]; b.Wait > 0 && b.Sender == c.Sender && b.Unit == c.Unit && !b.Over.IsZero() {
+			if b := calls[j]; b.RetryAfterMs > 0 && b.Sender == c.Sender && b.Unit == c.Unit && !b.EndedAt.IsZero() {
 				waits[from{b.Sender, b.Unit}] = b
 				break
 			}
 		}
 		w := waits[from{c.Sender, c.Unit}]
-		if w == nil || !c.At.After(w.Over.Add(waitSlack)) || !c.At.Before(w.Over.Add(time.Duration(w.Wait)*time.Millisecond-limitSlack)) {
+		if w == nil || !c.ReceivedAt.After(w.EndedAt.Add(waitSlack)) || !c.ReceivedAt.Before(w.EndedAt.Add(time.Duration(w.RetryAfterMs)*time.Millisecond-limitSlack)) {
 			continue
 		}
-		if !r.killedBetween(c.Sender, w.Over, c.At) {
-			breaks = append(breaks, Break{judge.RetryAfterIgnored.String(), c.At, c.Sender, c.IDs[0], fmt.Sprintf("sent %v into a wait of %d ms", c.At.Sub(w.Over), w.Wait)})
+		if !r.killedBetween(c.Sender, w.EndedAt, c.ReceivedAt) {
+			breaks = append(breaks, Violation{judge.RetryAfterIgnored.String(), c.ReceivedAt, c.Sender, c.IDs[0], fmt.Sprintf("sent %v into a wait of %d ms", c.ReceivedAt.Sub(w.EndedAt), w.RetryAfterMs)})
 		}
 	}
 	return breaks
--- a/lab/rig/plan.go
+++ b/lab/rig/plan.go
@@ -23,14 +23,14 @@
 
 // Plan is a plan file.
 type Plan struct {
-	Name     string             `toml:"name"`     // of the plan, for reports
-	Scenario string             `toml:"scenario"` // file of the scenario, relative to the plan's
-	Settle   scenario.Duration  `toml:"settle"`   // wait after the last deadline, for what is still on its way
-	Crowd    int                `toml:"crowd"`    // connections that clients hold open to each sender and use for nothing
-	Set      map[string]string  `toml:"set"`      // keys of the scenario that the plan changes
-	Faults   []scenario.Trouble `toml:"fault"`    // troubles of receivers and clients
-	Signals  []Signal           `toml:"signal"`
-	Draw     Draw               `toml:"draw"` // what each seed draws beside the stated faults and signals
+	Name      string             `toml:"name"`     // of the plan, for reports
+	Scenario  string             `toml:"scenario"` // file of the scenario, relative to the plan's
+	Settle    scenario.Duration  `toml:"settle"`   // wait after the last deadline, for what is still on its way
+	IdleConns int                `toml:"crowd"`    // connections that clients hold open to each sender and use for nothing
+	Set       map[string]string  `toml:"set"`      // keys of the scenario that the plan changes
+	Faults    []scenario.Trouble `toml:"fault"`    // troubles of receivers and clients
+	Signals   []Signal           `toml:"signal"`
+	Draw      Draw               `toml:"draw"` // what each seed draws beside the stated faults and signals
 }
 
 // Signal is something done to sender processes.
@@ -71,10 +71,10 @@
 )
 
 // ErrPlan is wrapped by every fault of a plan.
-var ErrPlan = errors.New("bad plan")
+var ErrInvalidPlan = errors.New("bad plan")
 
 func planError(key, format string, args ...any) error {
-	return fmt.Errorf("%w: %s: %s", ErrPlan, key, fmt.Sprintf(format, args...))
+	return fmt.Errorf("%w: %s: %s", ErrInvalidPlan, key, fmt.Sprintf(format, args...))
 }
 
 // Load reads a plan and its scenario. An unknown key, a fault without an end and an impossible value are refused.
@@ -90,7 +90,7 @@
 		if errors.As(err, &strict) && len(strict.Errors) > 0 {
 			return nil, nil, planError(strings.Join(strict.Errors[0].Key(), "."), "no such key")
 		}
-		return nil, nil, fmt.Errorf("%w: %s: %w", ErrPlan, path, err)
+		return nil, nil, fmt.Errorf("%w: %s: %w", ErrInvalidPlan, path, err)
 	}
 	s, err := scenario.Load(filepath.Join(filepath.Dir(path), p.Scenario))
 	if err != nil {
@@ -146,7 +146,7 @@
 }
 
 // Fits tells why a machine has no room for a plan, nil if it has.
-func (p *Plan) Fits(s *scenario.Scenario, m scale.Machine) error {
+func (p *Plan) CheckResources(s *scenario.Scenario, m scale.Machine) error {
 	n := s.Senders.Count
 	if need := int64(n) * senderMemory; need > m.Memory/2 {
 		return planError("senders.count", "%d, which needs some %d MB; half of this machine's memory is %d MB", n, need>>20, m.Memory/2>>20)
@@ -155,7 +155,7 @@
 	for _, k := range s.Kinds {
 		endpoints += k.Destinations * slices.Max(k.Endpoints)
 	}
-	if need := ownFiles + n*(senderFiles+p.Crowd+endpoints); need > m.Descriptors {
+	if need := ownFiles + n*(senderFiles+p.IdleConns+endpoints); need > m.Descriptors {
 		return planError("senders.count", "%d before %d endpoints, which needs %d descriptors; the limit is %d (ulimit -n)", n, endpoints, need, m.Descriptors)
 	}
 	return nil
--- a/lab/rig/rig_test.go
+++ b/lab/rig/rig_test.go
@@ -49,16 +49,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := Run(context.Background(), p, s, Options{Program: program, Seed: seed, Keep: t.ArtifactDir()})
+	r, err := Run(context.Background(), p, s, Options{Program: program, Seed: seed, RecordsDir: t.ArtifactDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("seed %d: %d handed in, %d taken, %d outages, %d fallen, signals %v, clients late by %.1f ms, receivers by %.1f", seed, r.Handed, r.Taken, r.Outages, len(r.Falls), r.Signals, r.LateLoad, r.Lag)
-	for _, b := range r.Breaks {
+	t.Logf("seed %d: %d handed in, %d taken, %d outages, %d fallen, signals %v, clients late by %.1f ms, receivers by %.1f", seed, r.Submitted, r.Accepted, r.Outages, len(r.Overloads), r.Signals, r.ClientDelayP99Ms, r.ReceiverLagMs)
+	for _, b := range r.Violations {
 		t.Errorf("seed %d: %s rule %s, sender %d, message %s: %s", seed, b.At.Format("15:04:05.000"), b.Rule, b.Sender, b.ID, b.Text)
 	}
-	if r.Taken < 500 || r.Outages == 0 {
-		t.Errorf("seed %d: %d taken, %d outages: too few to tell anything", seed, r.Taken, r.Outages)
+	if r.Accepted < 500 || r.Outages == 0 {
+		t.Errorf("seed %d: %d taken, %d outages: too few to tell anything", seed, r.Accepted, r.Outages)
 	}
 	return r
 }
@@ -148,7 +148,7 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, _, err := Load(path); !errors.Is(err, ErrPlan) || !strings.Contains(err.Error(), c.want) {
+		if _, _, err := Load(path); !errors.Is(err, ErrInvalidPlan) || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %q", c.new, err, c.want)
 		}
 	}
@@ -176,11 +176,11 @@
 		{scale.Machine{Memory: 1 << 30, Descriptors: 20_000}, "senders.count: 41, which needs some 1968 MB; half of this machine's memory is 512 MB"},
 		{scale.Machine{Memory: 64 << 30, Descriptors: 1024}, "senders.count: 41 before 40 endpoints, which needs 5320 descriptors; the limit is 1024"},
 	} {
-		if err := p.Fits(s, c.m); err == nil || !strings.Contains(err.Error(), c.want) {
+		if err := p.CheckResources(s, c.m); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%v, want %q", err, c.want)
 		}
 	}
-	if err := p.Fits(s, scale.Machine{Memory: 24 << 30, Descriptors: 20_000}); err != nil {
+	if err := p.CheckResources(s, scale.Machine{Memory: 24 << 30, Descriptors: 20_000}); err != nil {
 		t.Error(err)
 	}
 }
--- a/lab/rig/run.go
+++ b/lab/rig/run.go
@@ -23,27 +23,27 @@
 
 // Options are what a run is given beside its plan.
 type Options struct {
-	Program string // the daemon
-	Seed    uint64
-	Log     func(line string)
-	Keep    string // folder for the records of a run in which something broke; empty: none are kept
+	Program    string // the daemon
+	Seed       uint64
+	Log        func(line string)
+	RecordsDir string // folder for the records of a run in which something broke; empty: none are kept
 
 	started func(pid int, dir string) // told of each process that is ready; for tests
 }
 
 // Result is what came of a run.
 type Result struct {
-	Seed     uint64         `json:"seed"`
-	Breaks   []Break        `json:"breaks"`
-	Falls    []fall         `json:"falls"`
-	Outages  int            `json:"outages"`
-	Margins  []float64      `json:"margins"` // of each cold return, see package margin
-	Taken    int            `json:"taken"`
-	Handed   int            `json:"handed"`
-	Signals  map[string]int `json:"signals"`
-	Counts   live.Counts    `json:"receivers"`
-	LateLoad float64        `json:"load_late_p99_ms"` // how late clients began: a busy machine's doing
-	Lag      float64        `json:"receivers_lag_ms"` // the longest that a call waited for the receivers: likewise
+	Seed             uint64         `json:"seed"`
+	Violations       []Violation    `json:"breaks"`
+	Overloads        []fall         `json:"falls"`
+	Outages          int            `json:"outages"`
+	Margins          []float64      `json:"margins"` // of each cold return, see package margin
+	Accepted         int            `json:"taken"`
+	Submitted        int            `json:"handed"`
+	Signals          map[string]int `json:"signals"`
+	ReceiverCounts   live.Counts    `json:"receivers"`
+	ClientDelayP99Ms float64        `json:"load_late_p99_ms"` // how late clients began: a busy machine's doing
+	ReceiverLagMs    float64        `json:"receivers_lag_ms"` // the longest that a call waited for the receivers: likewise
 }
 
 // fleet is a run under way.
@@ -59,9 +59,9 @@
 	signals []Signal
 
 	mu      sync.Mutex
-	handed  []live.Handed
+	handed  []live.RequestRecord
 	sent    map[string]int
-	failed  []Break
+	failed  []Violation
 	restful []net.Conn // connections that clients hold and use for nothing
 }
 
@@ -126,7 +126,7 @@
 func (f *fleet) daemon(i int, starter *process.Starter) (*daemon, error) {
 	listen := address(f.run, i)
 	d := &daemon{n: i, program: f.o.Program, dir: filepath.Join(f.dir, fmt.Sprint("n", i)), listen: listen, starter: starter}
-	text, err := live.SeededConfig(f.s, fmt.Sprint("n", i), listen, f.v.DiscoveryOf(i), f.o.Seed<<16+uint64(i)+1)
+	text, err := live.SeededConfig(f.s, fmt.Sprint("n", i), listen, f.v.DiscoveryAddrOf(i), f.o.Seed<<16+uint64(i)+1)
 	if err != nil {
 		return nil, err
 	}
@@ -154,8 +154,8 @@
 	for _, d := range f.daemons {
 		targets = append(targets, d.listen)
 	}
-	load, err := live.NewLoad(f.s, live.LoadOptions{Targets: targets, Seed: f.o.Seed, Name: fmt.Sprintf("r%d", f.o.Seed), Body: 100,
-		Log: f.o.Log, Handed: func(h live.Handed) {
+	load, err := live.NewLoad(f.s, live.LoadOptions{Targets: targets, Seed: f.o.Seed, IDPrefix: fmt.Sprintf("r%d", f.o.Seed), BodyBytes: 100,
+		Log: f.o.Log, OnRequestEnd: func(h live.RequestRecord) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			f.handed = append(f.handed, h)
@@ -186,7 +186,7 @@
 // rest opens the connections that clients hold and use for nothing.
 func (f *fleet) rest() {
 	for _, d := range f.daemons {
-		for range f.plan.Crowd {
+		for range f.plan.IdleConns {
 			if nc, err := net.Dial("tcp", d.listen); err == nil { // a sender may have no room: that is the crowd's point
 				f.restful = append(f.restful, nc)
 			}
@@ -238,7 +238,7 @@
 	}
 	if err := d.start(ctx, laterStart); err != nil && ctx.Err() == nil {
 		f.mu.Lock()
-		f.failed = append(f.failed, Break{Rule: "start", At: time.Now(), Sender: d.n, Text: err.Error()})
+		f.failed = append(f.failed, Violation{Rule: "start", At: time.Now(), Sender: d.n, Text: err.Error()})
 		f.mu.Unlock()
 	}
 }
@@ -282,7 +282,7 @@
 		rec.notices = append(rec.notices, f.v.Notices(i))
 		rec.lives = append(rec.lives, d.life())
 		if d.crashed() {
-			f.failed = append(f.failed, Break{Rule: "crash", At: time.Now(), Sender: i, Text: "the process ended though nobody told it to"})
+			f.failed = append(f.failed, Violation{Rule: "crash", At: time.Now(), Sender: i, Text: "the process ended though nobody told it to"})
 		}
 	}
 	f.w.mu.Lock()
@@ -290,12 +290,12 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	rec.handed = f.handed
-	result := &Result{Seed: f.o.Seed, Breaks: append(f.failed, rec.verdict()...), Falls: f.w.falls, Outages: len(f.w.all), Margins: f.w.margins(), Handed: len(f.handed),
-		Signals: f.sent, Counts: f.v.Counts(), LateLoad: loaded.Late99,
-		Lag: float64(f.v.Lag().Microseconds()) / 1000}
+	result := &Result{Seed: f.o.Seed, Violations: append(f.failed, rec.verdict()...), Overloads: f.w.falls, Outages: len(f.w.all), Margins: f.w.margins(), Submitted: len(f.handed),
+		Signals: f.sent, ReceiverCounts: f.v.Counts(), ClientDelayP99Ms: loaded.StartDelayP99,
+		ReceiverLagMs: float64(f.v.MaxLag().Microseconds()) / 1000}
 	for _, h := range f.handed {
 		if taken(h) {
-			result.Taken++
+			result.Accepted++
 		}
 	}
 	return result
@@ -303,10 +303,10 @@
 
 // keep writes the records of a run in which something broke.
 func (f *fleet) keep(r *Result) error {
-	if len(r.Breaks) == 0 || f.o.Keep == "" {
+	if len(r.Violations) == 0 || f.o.RecordsDir == "" {
 		return nil
 	}
-	dir := filepath.Join(f.o.Keep, fmt.Sprint(f.plan.Name, "-seed-", f.o.Seed))
+	dir := filepath.Join(f.o.RecordsDir, fmt.Sprint(f.plan.Name, "-seed-", f.o.Seed))
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
--- a/lab/rig/watch.go
+++ b/lab/rig/watch.go
@@ -16,14 +16,14 @@
 
 // call is one call as a receiver saw it.
 type call struct {
-	Sender   int       `json:"sender"`
-	IDs      []string  `json:"ids"`
-	Endpoint int       `json:"endpoint"`
-	Unit     int       `json:"unit"`
-	At       time.Time `json:"at"`
-	Over     time.Time `json:"over"` // zero: it was out to the end
-	Outcome  string    `json:"outcome"`
-	Wait     int64     `json:"wait_ms,omitempty"`
+	Sender       int       `json:"sender"`
+	IDs          []string  `json:"ids"`
+	Endpoint     int       `json:"endpoint"`
+	Unit         int       `json:"unit"`
+	ReceivedAt   time.Time `json:"at"`
+	EndedAt      time.Time `json:"over"` // zero: it was out to the end
+	Outcome      string    `json:"outcome"`
+	RetryAfterMs int64     `json:"wait_ms,omitempty"`
 
 	classes []int
 	what    rules.Outcome
@@ -32,15 +32,15 @@
 
 // fall is a destination that was pushed over as it came back.
 type fall struct {
-	Unit        int         `json:"unit"`
-	OutFrom     time.Time   `json:"out_from"`
-	OutTo       time.Time   `json:"out_to"`
-	At          time.Time   `json:"at"`
-	Sent        float64     `json:"sent"`     // calls within the window
-	Informed    float64     `json:"informed"` // of them, from senders that had seen a call fail there during the outage
-	Broken      bool        `json:"rule_broken"`
-	BySender    map[int]int `json:"by_sender"`
-	InformedOne []int       `json:"informed_senders"`
+	Unit            int         `json:"unit"`
+	OutageBegin     time.Time   `json:"out_from"`
+	OutageEnd       time.Time   `json:"out_to"`
+	At              time.Time   `json:"at"`
+	Calls           float64     `json:"sent"`     // calls within the window
+	InformedCalls   float64     `json:"informed"` // of them, from senders that had seen a call fail there during the outage
+	RuleBroken      bool        `json:"rule_broken"`
+	BySender        map[int]int `json:"by_sender"`
+	InformedSenders []int       `json:"informed_senders"`
 }
 
 // outage is one outage of a unit, and who saw it.
@@ -67,7 +67,7 @@
 }
 
 // Connected is told of each connection.
-func (w *watcher) Connected(sender int, ep *receiver.Endpoint, taken bool) {
+func (w *watcher) ConnectionOpened(sender int, ep *receiver.Endpoint, taken bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if taken {
@@ -80,10 +80,10 @@
 }
 
 // Called is told of each call that has come whole.
-func (w *watcher) Called(sender int, ep *receiver.Endpoint, c *model.Call) {
+func (w *watcher) CallReceived(sender int, ep *receiver.Endpoint, c *model.Call) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	one := &call{Sender: sender, Endpoint: int(ep.ID), Unit: ep.Unit.Number, At: time.Now(), Outcome: "out"}
+	one := &call{Sender: sender, Endpoint: int(ep.ID), Unit: ep.Unit.Number, ReceivedAt: time.Now(), Outcome: "out"}
 	for _, m := range c.Messages {
 		one.IDs = append(one.IDs, string(m.ID))
 		one.classes = append(one.classes, m.Class)
@@ -93,7 +93,7 @@
 }
 
 // Answered is told how a call ended at the receiver.
-func (w *watcher) Answered(sender int, ep *receiver.Endpoint, c *model.Call, o model.Outcome) {
+func (w *watcher) CallAnswered(sender int, ep *receiver.Endpoint, c *model.Call, o model.Outcome) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	one := w.out[c]
@@ -101,7 +101,7 @@
 		return
 	}
 	delete(w.out, c)
-	one.Over, one.what, one.silent, one.Wait = time.Now(), o.Result, o.NoAnswer, o.RetryAfter.Milliseconds()
+	one.EndedAt, one.what, one.silent, one.RetryAfterMs = time.Now(), o.Result, o.NoAnswer, o.RetryAfter.Milliseconds()
 	one.Outcome = outcomeName(o)
 	if o.Result != rules.OK {
 		w.learn(sender, ep, one)
@@ -109,28 +109,28 @@
 }
 
 // GivenUp is told of a call that its sender gave up, or of a connection on which nobody read.
-func (w *watcher) GivenUp(sender int, ep *receiver.Endpoint, c *model.Call) {
+func (w *watcher) CallAbandoned(sender int, ep *receiver.Endpoint, c *model.Call) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	one := w.out[c]
 	if one == nil {
-		one = &call{Sender: sender, At: time.Now()}
+		one = &call{Sender: sender, ReceivedAt: time.Now()}
 	} else {
 		delete(w.out, c)
-		one.Over, one.Outcome, one.what = time.Now(), "given up", rules.TimedOut
+		one.EndedAt, one.Outcome, one.what = time.Now(), "given up", rules.TimedOut
 	}
 	w.learn(sender, ep, one)
 }
 
 // learn notes that a sender saw a call fail that it had made before the end of an outage. The caller holds the lock.
 func (w *watcher) learn(sender int, ep *receiver.Endpoint, c *call) {
-	if o := w.outages[ep.Unit.Number]; o != nil && (o.ends.IsZero() || !c.At.After(o.ends)) {
+	if o := w.outages[ep.Unit.Number]; o != nil && (o.ends.IsZero() || !c.ReceivedAt.After(o.ends)) {
 		o.informed[sender] = true
 	}
 }
 
 // Listed is told of what discovery tells all senders.
-func (w *watcher) Listed(e rules.ListUpdate) {
+func (w *watcher) ListPublished(e rules.ListUpdate) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, x := range e.Entries {
@@ -153,7 +153,7 @@
 }
 
 // Weighed is told of each window of calls that a unit is sent as it returns.
-func (w *watcher) Weighed(u *receiver.Unit, window []receiver.Arrival, allowed float64) {
+func (w *watcher) WindowMeasured(u *receiver.Unit, window []receiver.Arrival, allowed float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if o := w.outages[u.Number]; o != nil {
@@ -172,29 +172,29 @@
 }
 
 // Fell is told of a unit that was pushed over.
-func (w *watcher) Fell(u *receiver.Unit, by map[int]float64) {
+func (w *watcher) UnitOverloaded(u *receiver.Unit, by map[int]float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	f := fall{Unit: u.Number, At: time.Now(), BySender: map[int]int{}}
 	o := w.outages[u.Number]
 	if o != nil {
-		f.OutFrom, f.OutTo = o.begins, o.ends
+		f.OutageBegin, f.OutageEnd = o.begins, o.ends
 	}
 	for sender, n := range by {
-		f.Sent += n
+		f.Calls += n
 		f.BySender[sender] = int(n)
 		if o != nil && o.informed[sender] {
-			f.Informed += n
-			f.InformedOne = append(f.InformedOne, sender)
+			f.InformedCalls += n
+			f.InformedSenders = append(f.InformedSenders, sender)
 		}
 	}
-	f.Broken = f.Informed >= f.Sent*margin.InformedShare
+	f.RuleBroken = f.InformedCalls >= f.Calls*margin.InformedShare
 	w.falls = append(w.falls, f)
 }
 
 func (f fall) String() string {
 	return fmt.Sprintf("unit %d was out for %.2fs, came back and fell %.2fs later: %.0f calls within the window, %.0f of them from senders that had seen the outage",
-		f.Unit, f.OutTo.Sub(f.OutFrom).Seconds(), f.At.Sub(f.OutTo).Seconds(), f.Sent, f.Informed)
+		f.Unit, f.OutageEnd.Sub(f.OutageBegin).Seconds(), f.At.Sub(f.OutageEnd).Seconds(), f.Calls, f.InformedCalls)
 }
 
 func outcomeName(o model.Outcome) string {
