--- a/cmd/eiderlab/look.go
+++ b/cmd/eiderlab/look.go
@@ -93,7 +93,7 @@
 		return rows
 	}
 	key := func(r experiment.Row) string {
-		k := strings.Join(r.Set, "\x00") + "\x00" + strconv.FormatUint(r.Point.Seed, 10)
+		k := strings.Join(r.AxisValues, "\x00") + "\x00" + strconv.FormatUint(r.Point.Seed, 10)
 		if a == "" && b == "" {
 			k += "\x00" + r.Point.Policy
 		}
@@ -106,7 +106,7 @@
 	t := chart.Table{Head: []string{"figure", "A", "B", "B - A", "higher", "lower", ""}}
 	for _, d := range diffs {
 		mark := ""
-		if d.Clear() && d.Diff.N > 1 {
+		if d.Significant() && d.Diff.N > 1 {
 			mark = "clear"
 		}
 		t.Rows = append(t.Rows, []string{d.Name, d.A.String(), d.B.String(), d.Diff.String(), strconv.Itoa(d.Higher), strconv.Itoa(d.Lower), mark})
--- a/cmd/eiderlab/play.go
+++ b/cmd/eiderlab/play.go
@@ -240,7 +240,7 @@
 				}
 				plan.Axes = append(plan.Axes, axis)
 			}
-			if err := plan.Check(); err != nil {
+			if err := plan.Validate(); err != nil {
 				return err
 			}
 			return sweep(c.Context(), plan, out, resume, jobs)
@@ -319,7 +319,7 @@
 	return c
 }
 
-func showFound(found []experiment.Found, out string) error {
+func showFound(found []experiment.Finding, out string) error {
 	t := chart.Table{Head: []string{"day", "troubles", "G", "oracle", "why"}}
 	if err := os.MkdirAll(out, 0o755); err != nil {
 		return err
@@ -327,7 +327,7 @@
 	for i, f := range found {
 		name := fmt.Sprintf("%s-%d.toml", f.Scenario.Name, f.Seed)
 		s := *f.Scenario
-		s.About = fmt.Sprintf("found by a hunt, play it with --seed %d: %s", f.Seed, f.Why())
+		s.About = fmt.Sprintf("found by a hunt, play it with --seed %d: %s", f.Seed, f.Reason())
 		text, err := s.Encode()
 		if err != nil {
 			return err
@@ -335,8 +335,8 @@
 		if err := os.WriteFile(filepath.Join(out, name), text, 0o644); err != nil {
 			return err
 		}
-		t.Rows = append(t.Rows, []string{fmt.Sprintf("%d: %s", i+1, filepath.Join(out, name)), f.Kinds(),
-			fmt.Sprintf("%.3f", f.Module.G), fmt.Sprintf("%.3f", f.Ideal.G), f.Why()})
+		t.Rows = append(t.Rows, []string{fmt.Sprintf("%d: %s", i+1, filepath.Join(out, name)), f.TroubleKinds(),
+			fmt.Sprintf("%.3f", f.Module.G), fmt.Sprintf("%.3f", f.Oracle.G), f.Reason()})
 	}
 	if len(found) == 0 {
 		fmt.Println("no day on which the module was worse than the oracle")
--- a/cmd/eiderlab/sockets.go
+++ b/cmd/eiderlab/sockets.go
@@ -219,12 +219,12 @@
 		return l
 	}
 	return []*chart.Chart{
-		{Title: s.Name + ": answers", X: "time, s", Y: "requests a second", Zero: true, Bands: bands(s), Lines: []chart.Line{
+		{Title: s.Name + ": answers", XLabel: "time, s", YLabel: "requests a second", YFromZero: true, Bands: bands(s), Lines: []chart.Line{
 			line("planned", func(w live.LoadWindow) float64 { return float64(w.Planned) }),
 			line("taken", func(w live.LoadWindow) float64 { return float64(w.Accepted) }),
 			line("refused", func(w live.LoadWindow) float64 { return float64(w.Refused) }),
 			line("unheard or failed", func(w live.LoadWindow) float64 { return float64(w.NoAnswer + w.Failed) })}},
-		{Title: s.Name + ": time to the answer", X: "time, s", Y: "ms, from the planned time", LogY: true, Bands: bands(s), Lines: []chart.Line{
+		{Title: s.Name + ": time to the answer", XLabel: "time, s", YLabel: "ms, from the planned time", LogY: true, Bands: bands(s), Lines: []chart.Line{
 			line("p50", func(w live.LoadWindow) float64 { return w.P50 }),
 			line("p99", func(w live.LoadWindow) float64 { return w.P99 })}},
 	}
--- a/lab/chart/chart.go
+++ b/lab/chart/chart.go
@@ -30,13 +30,13 @@
 
 // Chart is one picture.
 type Chart struct {
-	Title, X, Y string
-	Lines       []Line
-	Bars        []string // names of the x axis, for bars: each line then is one bar group
-	LogX        bool
-	LogY        bool
-	Zero        bool // the y axis starts at 0
-	Bands       []Band
+	Title, XLabel, YLabel string
+	Lines                 []Line
+	BarLabels             []string // names of the x axis, for bars: each line then is one bar group
+	LogX                  bool
+	LogY                  bool
+	YFromZero             bool // the y axis starts at 0
+	Bands                 []Band
 }
 
 // palette is Okabe and Ito's, which people with colour blindness can tell apart.
@@ -50,7 +50,7 @@
 
 func (c *Chart) plot() (*plot.Plot, error) {
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = c.Title, c.X, c.Y
+	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = c.Title, c.XLabel, c.YLabel
 	p.Title.TextStyle.Font.Size, p.Title.Padding = 14, 6
 	p.Legend.Top, p.Legend.Left = true, false
 	p.Legend.XOffs, p.Legend.YOffs, p.Legend.Padding = -4, -2, vg.Points(2)
@@ -66,7 +66,7 @@
 		area.Color, area.LineStyle.Width = color.NRGBA{R: 230, G: 190, B: 90, A: 60}, 0
 		p.Add(area)
 	}
-	if c.Bars != nil {
+	if c.BarLabels != nil {
 		return p, c.addBars(p)
 	}
 	for i, l := range c.Lines {
@@ -105,7 +105,7 @@
 	if math.IsInf(low, 1) {
 		return 0, 1
 	}
-	if c.Zero {
+	if c.YFromZero {
 		low = min(low, 0)
 	}
 	room := 0.08 + 0.065*float64(len(c.Lines)) // for the legend
@@ -186,7 +186,7 @@
 
 // addBars draws one bar a name for each line, side by side, with its interval.
 func (c *Chart) addBars(p *plot.Plot) error {
-	w := vg.Points(min(60, 420/float64(max(1, len(c.Bars)*len(c.Lines)))))
+	w := vg.Points(min(60, 420/float64(max(1, len(c.BarLabels)*len(c.Lines)))))
 	for i, l := range c.Lines {
 		bars, err := plotter.NewBarChart(plotter.Values(l.Y), w)
 		if err != nil {
@@ -199,7 +199,7 @@
 			p.Legend.Add(l.Name, bars)
 		}
 	}
-	p.NominalX(c.Bars...)
+	p.NominalX(c.BarLabels...)
 	low, high := c.extent()
 	p.Y.Min, p.Y.Max = min(low, 0), high
 	for i, l := range c.Lines {
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -135,7 +135,7 @@
 	} {
 		p := plan(t)
 		row.change(p)
-		if err := p.Check(); err == nil || !strings.Contains(err.Error(), row.says) {
+		if err := p.Validate(); err == nil || !strings.Contains(err.Error(), row.says) {
 			t.Errorf("%v, want it to say %q", err, row.says)
 		}
 	}
@@ -143,11 +143,11 @@
 
 // TestIntervalsHoldAsOftenAsTheySay draws samples of a known mean.
 func TestIntervalsHoldAsOftenAsTheySay(t *testing.T) {
-	e := Of([]float64{1, 2, 3, 4, 5})
-	if math.Abs(e.Mean-3) > 1e-12 || math.Abs(e.Half-1.9632) > 1e-3 { // 2.776 * 1.5811 / sqrt 5
+	e := EstimateMean([]float64{1, 2, 3, 4, 5})
+	if math.Abs(e.Mean-3) > 1e-12 || math.Abs(e.HalfWidth-1.9632) > 1e-3 { // 2.776 * 1.5811 / sqrt 5
 		t.Errorf("%v, want 3 ± 1.963", e)
 	}
-	if !math.IsNaN(Of([]float64{1}).Half) {
+	if !math.IsNaN(EstimateMean([]float64{1}).HalfWidth) {
 		t.Error("one run says nothing of spread")
 	}
 }
@@ -187,9 +187,9 @@
 			t.Error("no day was cut down to the troubles that matter")
 		}
 		for _, f := range found {
-			texts[i] = append(texts[i], f.Kinds()+" "+f.Why())
+			texts[i] = append(texts[i], f.TroubleKinds()+" "+f.Reason())
 			if len(f.Scenario.Troubles) > 5 || f.Loss <= 0 {
-				t.Errorf("%s: loss %.3f", f.Kinds(), f.Loss)
+				t.Errorf("%s: loss %.3f", f.TroubleKinds(), f.Loss)
 			}
 		}
 	}
--- a/lab/experiment/folder.go
+++ b/lab/experiment/folder.go
@@ -236,7 +236,7 @@
 	}
 	_ = w.Write(append(head, "stopped")) // a buffer takes everything
 	for _, r := range rows {
-		line := append([]string{strconv.Itoa(r.Index)}, r.Set...)
+		line := append([]string{strconv.Itoa(r.Index)}, r.AxisValues...)
 		line = append(line, r.Point.Policy, strconv.FormatUint(r.Point.Seed, 10))
 		for _, c := range Columns {
 			line = append(line, strconv.FormatFloat(c.Of(&r.Result), 'g', 8, 64))
--- a/lab/experiment/hunt.go
+++ b/lab/experiment/hunt.go
@@ -21,16 +21,16 @@
 )
 
 // Found is a day that the hunt brought home.
-type Found struct {
+type Finding struct {
 	Scenario *scenario.Scenario
 	Seed     uint64
 	Module   *tally.Result
-	Ideal    *tally.Result
+	Oracle   *tally.Result
 	Loss     float64 // what the module lost against the yardstick; 1 and more for a broken rule
 }
 
 // Why says in a few words what is wrong with the day.
-func (f Found) Why() string {
+func (f Finding) Reason() string {
 	if f.Module.ViolationCount > 0 {
 		var names []string
 		for name := range f.Module.ByRule {
@@ -39,11 +39,11 @@
 		slices.Sort(names)
 		return "breaks " + strings.Join(names, ", ")
 	}
-	return fmt.Sprintf("G %.3f, oracle %.3f", f.Module.G, f.Ideal.G)
+	return fmt.Sprintf("G %.3f, oracle %.3f", f.Module.G, f.Oracle.G)
 }
 
 // Kinds says in a few words what goes wrong on the day.
-func (f Found) Kinds() string {
+func (f Finding) TroubleKinds() string {
 	var names []string
 	for _, t := range f.Scenario.Troubles {
 		names = append(names, t.Kind)
@@ -55,8 +55,8 @@
 }
 
 // Hunt draws so many days and returns the worst, at most keep, each cut down. The same first seed finds the same days.
-func Hunt(ctx context.Context, s *scenario.Scenario, first uint64, days, keep, jobs int, done func(played int)) ([]Found, error) {
-	results := make([]*Found, days)
+func Hunt(ctx context.Context, s *scenario.Scenario, first uint64, days, keep, jobs int, done func(played int)) ([]Finding, error) {
+	results := make([]*Finding, days)
 	g, playing := errgroup.WithContext(ctx)
 	g.SetLimit(max(jobs, 1))
 	progress := make(chan struct{}, days)
@@ -85,7 +85,7 @@
 	}()
 	err := g.Wait()
 	<-finished
-	var found []Found
+	var found []Finding
 	for _, f := range results {
 		if f != nil {
 			found = append(found, *f)
@@ -94,7 +94,7 @@
 	if err != nil && len(found) == 0 {
 		return nil, err
 	}
-	slices.SortStableFunc(found, func(a, b Found) int { return cmp.Compare(b.Loss, a.Loss) })
+	slices.SortStableFunc(found, func(a, b Finding) int { return cmp.Compare(b.Loss, a.Loss) })
 	found = pickDifferent(found, keep)
 	for i := range found {
 		if ctx.Err() != nil {
@@ -108,9 +108,9 @@
 }
 
 // pickDifferent keeps the worst day of each set of troubles.
-func pickDifferent(found []Found, keep int) []Found {
+func pickDifferent(found []Finding, keep int) []Finding {
 	seen := map[string]bool{}
-	var out []Found
+	var out []Finding
 	for _, f := range found {
 		var kinds []string
 		for _, t := range f.Scenario.Troubles {
@@ -126,7 +126,7 @@
 	return out
 }
 
-func judgeDay(ctx context.Context, s *scenario.Scenario, seed uint64) (*Found, error) {
+func judgeDay(ctx context.Context, s *scenario.Scenario, seed uint64) (*Finding, error) {
 	module, err := world.Run(s, world.Options{Seed: seed, Workers: 1, Stop: ctx.Done()})
 	if err != nil || ctx.Err() != nil {
 		return nil, err
@@ -135,7 +135,7 @@
 	if err != nil || ctx.Err() != nil {
 		return nil, err
 	}
-	f := &Found{Scenario: s, Seed: seed, Module: module, Ideal: ideal, Loss: ideal.G - module.G}
+	f := &Finding{Scenario: s, Seed: seed, Module: module, Oracle: ideal, Loss: ideal.G - module.G}
 	if module.ViolationCount > 0 {
 		f.Loss = 1 + float64(min(module.ViolationCount, 100))/100
 	}
@@ -143,7 +143,7 @@
 }
 
 // cutDown leaves out each trouble without which the day is nearly as bad.
-func cutDown(ctx context.Context, f Found) (Found, error) {
+func cutDown(ctx context.Context, f Finding) (Finding, error) {
 	for i := 0; i < len(f.Scenario.Troubles); {
 		s := *f.Scenario
 		s.Troubles = slices.Delete(slices.Clone(s.Troubles), i, i+1)
--- a/lab/experiment/plan.go
+++ b/lab/experiment/plan.go
@@ -51,10 +51,10 @@
 
 // Point is one run of a plan.
 type Point struct {
-	Index  int      `json:"index"`
-	Set    []string `json:"set"` // the value of each axis
-	Policy string   `json:"policy"`
-	Seed   uint64   `json:"seed"`
+	Index      int      `json:"index"`
+	AxisValues []string `json:"set"` // the value of each axis
+	Policy     string   `json:"policy"`
+	Seed       uint64   `json:"seed"`
 }
 
 // Points lists the runs in the plan's order: axes as given, the first slowest, then policies, then seeds.
@@ -73,7 +73,7 @@
 	for _, c := range cells {
 		for _, policy := range p.Policies {
 			for _, seed := range p.Seeds {
-				points = append(points, Point{Index: len(points), Set: c, Policy: policy, Seed: seed})
+				points = append(points, Point{Index: len(points), AxisValues: c, Policy: policy, Seed: seed})
 			}
 		}
 	}
@@ -81,7 +81,7 @@
 }
 
 // At returns the scenario of a point.
-func (p *Plan) At(set []string) (*scenario.Scenario, error) {
+func (p *Plan) ScenarioFor(set []string) (*scenario.Scenario, error) {
 	s := p.Scenario
 	for i, v := range set {
 		var err error
@@ -93,7 +93,7 @@
 }
 
 // Check names what is wrong with a plan before anything is played.
-func (p *Plan) Check() error {
+func (p *Plan) Validate() error {
 	if len(p.Seeds) == 0 || len(p.Policies) == 0 {
 		return fmt.Errorf("a plan needs a seed and a policy at least")
 	}
@@ -104,12 +104,12 @@
 	}
 	seen := map[string]bool{}
 	for _, point := range p.Points() {
-		key := strings.Join(point.Set, "\x00")
+		key := strings.Join(point.AxisValues, "\x00")
 		if seen[key] {
 			continue
 		}
 		seen[key] = true
-		if _, err := p.At(point.Set); err != nil {
+		if _, err := p.ScenarioFor(point.AxisValues); err != nil {
 			return err
 		}
 	}
--- a/lab/experiment/play.go
+++ b/lab/experiment/play.go
@@ -36,7 +36,7 @@
 				break
 			}
 			inner.Go(func() error {
-				s, err := f.Plan.At(p.Set)
+				s, err := f.Plan.ScenarioFor(p.AxisValues)
 				if err != nil {
 					return err
 				}
--- a/lab/experiment/report.go
+++ b/lab/experiment/report.go
@@ -56,9 +56,9 @@
 		t.Head = append(t.Head, "G / oracle")
 	}
 	for _, c := range f.Cells() {
-		row := append(append([]string{}, c.Set...), c.Policy, strconv.Itoa(len(c.Rows)))
+		row := append(append([]string{}, c.AxisValues...), c.Policy, strconv.Itoa(len(c.Rows)))
 		for _, x := range figures {
-			row = append(row, c.Figure(x.of).String())
+			row = append(row, c.Estimate(x.of).String())
 		}
 		if bound != nil {
 			row = append(row, f.share(c, bound).String())
@@ -83,7 +83,7 @@
 }
 
 func pairKey(r Row) string {
-	return strings.Join(r.Set, "\x00") + "\x00" + strconv.FormatUint(r.Point.Seed, 10)
+	return strings.Join(r.AxisValues, "\x00") + "\x00" + strconv.FormatUint(r.Point.Seed, 10)
 }
 
 // share estimates the part of the oracle's G that a cell reaches, run by run.
@@ -94,7 +94,7 @@
 			xs = append(xs, r.Result.G/b)
 		}
 	}
-	return Of(xs)
+	return EstimateMean(xs)
 }
 
 // Charts are the charts of a grid: each figure over the first axis, a line for each policy and value of the other axes, or
@@ -111,7 +111,7 @@
 			continue
 		}
 		c := f.overAxis(cells, x.of)
-		c.Title, c.Y, c.Zero, c.LogY = f.Plan.Scenario.Name+": "+x.name, x.axis, x.zero, x.log
+		c.Title, c.YLabel, c.YFromZero, c.LogY = f.Plan.Scenario.Name+": "+x.name, x.axis, x.zero, x.log
 		if !c.Empty() {
 			charts = append(charts, c)
 		}
@@ -120,13 +120,13 @@
 }
 
 func (f *Folder) bars(cells []Cell, name, axis string, of func(*tally.Result) float64) *chart.Chart {
-	c := &chart.Chart{Title: f.Plan.Scenario.Name + ": " + name + " by policy", Y: axis, Zero: true}
+	c := &chart.Chart{Title: f.Plan.Scenario.Name + ": " + name + " by policy", YLabel: axis, YFromZero: true}
 	var l chart.Line
 	for i, cell := range cells {
-		e := cell.Figure(of)
-		c.Bars = append(c.Bars, cell.Policy)
+		e := cell.Estimate(of)
+		c.BarLabels = append(c.BarLabels, cell.Policy)
 		l.X, l.Y = append(l.X, float64(i)), append(l.Y, e.Mean)
-		l.Low, l.High = append(l.Low, e.Mean-e.Half), append(l.High, e.Mean+e.Half)
+		l.Low, l.High = append(l.Low, e.Mean-e.HalfWidth), append(l.High, e.Mean+e.HalfWidth)
 	}
 	c.Lines = []chart.Line{l}
 	return c
@@ -135,7 +135,7 @@
 // overAxis draws a figure over the first axis. Values that are numbers or durations stand at their place, others in order.
 func (f *Folder) overAxis(cells []Cell, of func(*tally.Result) float64) *chart.Chart {
 	axis := f.Plan.Axes[0]
-	c := &chart.Chart{X: axis.Key}
+	c := &chart.Chart{XLabel: axis.Key}
 	place := map[string]float64{}
 	low, high, numbers := math.Inf(1), math.Inf(-1), true
 	for i, v := range axis.Values {
@@ -156,16 +156,16 @@
 			index[name] = i
 			c.Lines = append(c.Lines, chart.Line{Name: name, Dashed: cell.Policy == "oracle"})
 		}
-		l, e := &c.Lines[i], cell.Figure(of)
-		l.X, l.Y = append(l.X, place[cell.Set[0]]), append(l.Y, e.Mean)
-		l.Low, l.High = append(l.Low, e.Mean-e.Half), append(l.High, e.Mean+e.Half)
+		l, e := &c.Lines[i], cell.Estimate(of)
+		l.X, l.Y = append(l.X, place[cell.AxisValues[0]]), append(l.Y, e.Mean)
+		l.Low, l.High = append(l.Low, e.Mean-e.HalfWidth), append(l.High, e.Mean+e.HalfWidth)
 	}
 	return c
 }
 
 func (f *Folder) lineName(c Cell) string {
 	parts := []string{c.Policy}
-	for i, v := range c.Set[1:] {
+	for i, v := range c.AxisValues[1:] {
 		key := f.Plan.Axes[i+1].Key
 		parts = append(parts, key[strings.LastIndex(key, ".")+1:]+"="+v)
 	}
@@ -247,7 +247,7 @@
 	}
 	name := results[0].Scenario
 	over := func(title, y string, zero, logY bool, of func(*tally.Window) float64, per bool) *chart.Chart {
-		c := &chart.Chart{Title: name + ": " + title, X: "model time, s", Y: y, Zero: zero, LogY: logY, Bands: bands}
+		c := &chart.Chart{Title: name + ": " + title, XLabel: "model time, s", YLabel: y, YFromZero: zero, LogY: logY, Bands: bands}
 		for _, r := range results {
 			c.Lines = append(c.Lines, binned(r.Policy, len(r.Series), r.WindowSeconds, per, func(i int) float64 { return of(&r.Series[i]) }))
 		}
@@ -299,7 +299,7 @@
 	var charts []*chart.Chart
 	for _, lane := range r.BusiestDestinations[:min(3, len(r.BusiestDestinations))] {
 		c := &chart.Chart{Title: fmt.Sprintf("%s: calls to destination %d by %s", r.Scenario, lane.Dest, r.Policy),
-			X: "model time, s", Y: "calls a second", Zero: true, Bands: bands}
+			XLabel: "model time, s", YLabel: "calls a second", YFromZero: true, Bands: bands}
 		n := len(lane.Calls)
 		best := binned("taken at its best", n, r.WindowSeconds, false, func(int) float64 { return lane.Capacity })
 		best.Dashed = true
--- a/lab/experiment/stats.go
+++ b/lab/experiment/stats.go
@@ -16,32 +16,32 @@
 
 // Estimate is a mean with the half width of its 95 % confidence interval (Student's t), over N runs.
 type Estimate struct {
-	Mean, Half float64
-	N          int
+	Mean, HalfWidth float64
+	N               int
 }
 
 // Of estimates the mean of xs. With fewer than two the half width is NaN: one run says nothing of spread.
-func Of(xs []float64) Estimate {
+func EstimateMean(xs []float64) Estimate {
 	xs = slices.DeleteFunc(slices.Clone(xs), math.IsNaN) // a run that has no such figure
 	if len(xs) == 0 {
-		return Estimate{Mean: math.NaN(), Half: math.NaN()}
+		return Estimate{Mean: math.NaN(), HalfWidth: math.NaN()}
 	}
 	mean, std := stat.MeanStdDev(xs, nil)
 	if len(xs) < 2 {
-		return Estimate{Mean: xs[0], Half: math.NaN(), N: 1}
+		return Estimate{Mean: xs[0], HalfWidth: math.NaN(), N: 1}
 	}
 	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(xs) - 1)}.Quantile(0.975)
-	return Estimate{Mean: mean, Half: t * std / math.Sqrt(float64(len(xs))), N: len(xs)}
+	return Estimate{Mean: mean, HalfWidth: t * std / math.Sqrt(float64(len(xs))), N: len(xs)}
 }
 
 func (e Estimate) String() string {
 	if math.IsNaN(e.Mean) {
 		return "-"
 	}
-	if math.IsNaN(e.Half) {
+	if math.IsNaN(e.HalfWidth) {
 		return short(e.Mean)
 	}
-	return short(e.Mean) + " ± " + short(e.Half)
+	return short(e.Mean) + " ± " + short(e.HalfWidth)
 }
 
 func short(x float64) string {
@@ -58,17 +58,17 @@
 
 // Cell is all runs of one combination with one policy.
 type Cell struct {
-	Set    []string
-	Policy string
-	Rows   []Row
+	AxisValues []string
+	Policy     string
+	Rows       []Row
 }
 
 // Cells groups the finished runs, in the plan's order.
 func (f *Folder) Cells() []Cell {
 	var cells []Cell
 	for _, r := range f.Rows() {
-		if n := len(cells); n == 0 || !slices.Equal(cells[n-1].Set, r.Set) || cells[n-1].Policy != r.Point.Policy {
-			cells = append(cells, Cell{Set: r.Set, Policy: r.Point.Policy})
+		if n := len(cells); n == 0 || !slices.Equal(cells[n-1].AxisValues, r.AxisValues) || cells[n-1].Policy != r.Point.Policy {
+			cells = append(cells, Cell{AxisValues: r.AxisValues, Policy: r.Point.Policy})
 		}
 		last := &cells[len(cells)-1]
 		last.Rows = append(last.Rows, r)
@@ -77,12 +77,12 @@
 }
 
 // Figure estimates a figure over a cell's runs.
-func (c Cell) Figure(of func(*tally.Result) float64) Estimate {
+func (c Cell) Estimate(of func(*tally.Result) float64) Estimate {
 	var xs []float64
 	for i := range c.Rows {
 		xs = append(xs, of(&c.Rows[i].Result))
 	}
-	return Of(xs)
+	return EstimateMean(xs)
 }
 
 // Difference is one figure of two sets of runs, paired by seed and parameters.
@@ -120,11 +120,11 @@
 				d.Lower++
 			}
 		}
-		d.A, d.B, d.Diff = Of(xs), Of(ys), Of(ds)
+		d.A, d.B, d.Diff = EstimateMean(xs), EstimateMean(ys), EstimateMean(ds)
 		diffs = append(diffs, d)
 	}
 	return diffs, len(left), alone
 }
 
 // Clear tells whether the interval of the difference leaves out 0.
-func (d Difference) Clear() bool { return math.Abs(d.Diff.Mean) > d.Diff.Half }
+func (d Difference) Significant() bool { return math.Abs(d.Diff.Mean) > d.Diff.HalfWidth }
--- a/lab/scale/folder.go
+++ b/lab/scale/folder.go
@@ -300,7 +300,7 @@
 	fits := FitRows(f.Rows)
 	var out []*chart.Chart
 	for _, d := range drawn {
-		c := &chart.Chart{Title: d.axis + ": " + d.title, X: d.axis, Y: d.y, LogY: d.log, Zero: !d.log}
+		c := &chart.Chart{Title: d.axis + ": " + d.title, XLabel: d.axis, YLabel: d.y, LogY: d.log, YFromZero: !d.log}
 		for _, l := range d.lines {
 			xs, ys := samples(f.Rows, d.axis, l.who, l.figure)
 			if len(xs) == 0 {
