--- a/rules/harness_test.go
+++ b/rules/harness_test.go
@@ -1,3 +1,6 @@
+// Drives a single sender for the tests of this package: settings, a bench that steps the sender through time, and
+// scripted endpoints.
+
 package rules
 
 import (
@@ -13,7 +16,8 @@
 	sec = time.Second
 )
 
-// testSettings are plain settings: one kind with shared routes, one with routes apart, and one of each class.
+// testSettings returns plain settings with three kinds of destination (with a shared limit, with routes apart, and with
+// calls of up to four messages) and the classes that are numbered below.
 func testSettings() Settings {
 	return Settings{
 		Seed: 7, Senders: 2, Tick: 5 * ms, Slots: 10, MaxHeld: 100, MaxAttempts: 6,
@@ -31,6 +35,7 @@
 	}
 }
 
+// Classes of testSettings.
 const (
 	safe = iota
 	once
@@ -39,7 +44,7 @@
 	keyedZone
 )
 
-// bench drives one sender and keeps what it did.
+// bench drives one sender and records its actions.
 type bench struct {
 	t   *testing.T
 	s   *Sender
@@ -48,13 +53,14 @@
 	log []Action
 }
 
+// newBench returns a bench whose sender has been given a list of entries, by default endpoint 11 of destination 1.
 func newBench(t *testing.T, change func(*Settings), entries ...Entry) *bench {
-	set := testSettings()
+	settings := testSettings()
 	if change != nil {
-		change(&set)
+		change(&settings)
 	}
-	b := &bench{t: t, s: New(set), now: 100 * sec}
-	b.s.deactivateAfter = 1e6 * sec // tests hold on to what they look at
+	b := &bench{t: t, s: New(settings), now: 100 * sec}
+	b.s.deactivateAfter = 1e6 * sec // tests keep pointers to active destinations
 	if len(entries) == 0 {
 		entries = []Entry{{Endpoint: 11, Destination: 1}}
 	}
@@ -69,7 +75,7 @@
 	return out
 }
 
-// wait lets time pass in steps of a tick and returns all that was done.
+// wait lets time pass in steps of a tick and returns all actions.
 func (b *bench) wait(d time.Duration) []Action {
 	var out []Action
 	for end := b.now + d; b.now < end; {
@@ -84,13 +90,13 @@
 	return MessageID(fmt.Sprintf("m%d", b.n))
 }
 
-// take hands in one message for destination 1 and returns its name and what was done.
+// take submits a message to destination 1 and returns its ID and the actions that follow.
 func (b *bench) take(class int) (MessageID, []Action) {
 	id := b.arrive(class)
 	return id, b.step(Arrived{ID: id, Destination: 1, Class: class, TimeLeft: 16 * sec})
 }
 
-// reply is how a scripted endpoint takes an attempt: the outcome, and after how long.
+// reply is how and when a scripted endpoint ends an attempt.
 type reply struct {
 	o     Outcome
 	after time.Duration
@@ -99,29 +105,39 @@
 	noPlace bool
 }
 
-// run lets time pass while a script answers every attempt, and returns when calls arrived.
-func (b *bench) run(d time.Duration, script func(ep EndpointID) reply) (arrived []time.Duration) {
-	type due struct {
-		at time.Duration
-		e  Event
+// ended returns the event of an attempt that ended with the reply.
+func (r reply) ended(id MessageID, number int, endpoint EndpointID) AttemptEnded {
+	return AttemptEnded{
+		ID:                     id,
+		Attempt:                number,
+		Endpoint:               endpoint,
+		Outcome:                r.o,
+		Elapsed:                r.after,
+		Finished:               r.o == OK,
+		RetryAfter:             r.wait,
+		ConnectionLimitReached: r.noPlace,
 	}
-	var pending []due
-	tries := map[MessageID]int{}
+}
+
+// run lets time pass while a script answers every attempt, and returns the times at which messages were sent. The
+// script also answers attempts that were in flight before.
+func (b *bench) run(d time.Duration, script func(endpoint EndpointID) reply) (sentAt []time.Duration) {
+	var pending []pendingEvent
+	attempts := map[MessageID]int{}
 	for _, m := range b.s.held {
-		tries[m.id] = m.attemptCount
+		attempts[m.id] = m.attemptCount
 	}
-	var before []attemptKey // out since before the run
+	var inFlight []attemptKey
 	for key := range b.s.attempts {
-		before = append(before, key)
+		inFlight = append(inFlight, key)
 	}
-	slices.SortFunc(before, func(x, y attemptKey) int {
+	slices.SortFunc(inFlight, func(x, y attemptKey) int {
 		return cmp.Or(cmp.Compare(x.id, y.id), cmp.Compare(x.number, y.number))
 	})
-	for _, key := range before {
-		ep := b.s.attempts[key].call.endpoint.id
-		r := script(ep)
-		pending = append(pending, due{b.now + r.after, AttemptEnded{ID: key.id, Attempt: key.number, Endpoint: ep,
-			Outcome: r.o, Elapsed: r.after, Finished: r.o == OK, RetryAfter: r.wait, ConnectionLimitReached: r.noPlace}})
+	for _, key := range inFlight {
+		endpoint := b.s.attempts[key].call.endpoint.id
+		r := script(endpoint)
+		pending = append(pending, pendingEvent{b.now + r.after, r.ended(key.id, key.number, endpoint)})
 	}
 	for end := b.now + d; b.now < end; {
 		b.now += 5 * ms
@@ -129,7 +145,7 @@
 		rest := pending[:0:0]
 		for _, p := range pending {
 			if p.at <= b.now {
-				events = append(events, p.e)
+				events = append(events, p.event)
 			} else {
 				rest = append(rest, p)
 			}
@@ -142,28 +158,28 @@
 				if a.Timeout > 0 && r.after > a.Timeout {
 					r.o, r.after = TimedOut, a.Timeout
 				}
-				pending = append(pending, due{b.now + r.after, AttemptEnded{ID: a.ID, Attempt: tries[a.ID], Endpoint: a.Endpoint,
-					Outcome: r.o, Elapsed: r.after, Finished: r.o == OK, RetryAfter: r.wait, ConnectionLimitReached: r.noPlace}})
-				tries[a.ID]++
-				arrived = append(arrived, b.now)
+				pending = append(pending, pendingEvent{b.now + r.after, r.ended(a.ID, attempts[a.ID], a.Endpoint)})
+				attempts[a.ID]++
+				sentAt = append(sentAt, b.now)
 			case Cancel:
 				for i, p := range pending {
-					if e, ok := p.e.(AttemptEnded); ok && e.ID == a.ID && e.Attempt == a.Attempt {
+					if e, ok := p.event.(AttemptEnded); ok && e.ID == a.ID && e.Attempt == a.Attempt {
 						e.Outcome, e.Finished = Cancelled, false
-						pending[i] = due{b.now + 5*ms, e}
+						pending[i] = pendingEvent{b.now + 5*ms, e}
 					}
 				}
 			}
 		}
 	}
-	return arrived
+	return sentAt
 }
 
-// always is a script that gives every attempt the same reply.
+// always returns a script that gives every attempt the same reply.
 func always(o Outcome, after time.Duration) func(EndpointID) reply {
 	return func(EndpointID) reply { return reply{o: o, after: after} }
 }
 
+// end ends an attempt after 100 ms with an outcome, and returns the actions that follow.
 func (b *bench) end(id MessageID, attempt int, ep EndpointID, o Outcome, change ...func(*AttemptEnded)) []Action {
 	e := AttemptEnded{ID: id, Attempt: attempt, Endpoint: ep, Outcome: o, Elapsed: 100 * ms, Finished: o == OK}
 	for _, f := range change {
@@ -178,23 +194,28 @@
 	for range n {
 		id, out := b.take(class)
 		if got := sends(out); len(got) != 1 {
-			b.t.Fatalf("serving: %d sends, want 1", len(got))
+			b.t.Fatalf("serve: %d sends, want 1", len(got))
 		}
 		b.wait(100 * ms)
 		b.end(id, 0, ep, OK)
 	}
 }
 
-// made is a call of the class that left at a time.
-func (b *bench) made(ep EndpointID, class int, sent time.Duration) *call {
-	return &call{endpoint: b.s.endpoint(ep), sentAt: sent, attempts: []*attempt{{message: &message{classIndex: class}}}}
+// made returns a call of one message of the class that was sent at the given time.
+func (b *bench) made(ep EndpointID, class int, sentAt time.Duration) *call {
+	return &call{
+		endpoint: b.s.endpoint(ep),
+		sentAt:   sentAt,
+		attempts: []*attempt{{message: &message{classIndex: class}}},
+	}
 }
 
-// answered lets the sender learn of a call of the class that was answered after so long.
-func (b *bench) answered(ep EndpointID, class int, took time.Duration) {
-	b.s.onSuccess(b.made(ep, class, b.s.now-took), max(took, 100*ms))
+// answered has the sender process the answer to a call of the class that took the given time.
+func (b *bench) answered(ep EndpointID, class int, elapsed time.Duration) {
+	b.s.onSuccess(b.made(ep, class, b.s.now-elapsed), max(elapsed, 100*ms))
 }
 
+// pick returns the actions of one type.
 func pick[T Action](actions []Action) []T {
 	var out []T
 	for _, a := range actions {
@@ -207,4 +228,5 @@
 
 func sends(actions []Action) []Send { return pick[Send](actions) }
 
+// finals returns the number of final answers among the actions.
 func finals(actions []Action) int { return len(pick[Refuse](actions)) + len(pick[Fail](actions)) }
