--- a/rules/health_test.go
+++ b/rules/health_test.go
@@ -279,8 +279,8 @@
 
 // In a large fleet, calls sent before an outage, or at the same time as the call that failed, may be answered after
 // the failure. Such an answer clears no failure, and does not turn a time-out into a single lost answer. Seen in the
-// soak of the lab's rig with seed 1005: nine of the fifteen calls that overloaded a destination during its recovery came from four
-// senders whose latest outcomes there had been a failure and then an answer to an older call.
+// soak of the lab's rig with seed 1005: nine of the fifteen calls that overloaded a destination during its recovery
+// came from four senders whose latest outcomes there had been a failure and then an answer to an older call.
 func TestAnswerToOlderCallClearsNoFailure(t *testing.T) {
 	for _, c := range []struct {
 		senders   int
