--- a/lab/chart/chart.go
+++ b/lab/chart/chart.go
@@ -1,5 +1,6 @@
-// Package chart owns pictures and pages: line charts as SVG and PNG, and one page that holds an experiment whole. It must
-// never compute a figure that the tables do not hold, and its pages load nothing from outside.
+// Package chart draws line and bar charts as SVG and PNG, and builds self-contained HTML pages from charts and tables.
+// It must never compute values that its caller did not pass, and its pages must never refer to other files or
+// addresses.
 package chart
 
 import (
@@ -17,7 +18,8 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-// Line is one line of a chart. Low and High, if given, bound each point (a confidence interval).
+// Line is one line of a chart, or one group of bars. Low and High, if not nil, are the ends of an interval around each
+// point, such as a confidence interval. Points of a line whose Y is NaN are not drawn; the Y of bars must not be NaN.
 type Line struct {
 	Name      string
 	X, Y      []float64
@@ -25,45 +27,77 @@
 	Dashed    bool
 }
 
-// Band marks a span of the x axis, such as an outage.
+// Band is a shaded span of the x axis, such as an outage.
 type Band struct{ From, To float64 }
 
-// Chart is one picture.
+// Chart is a line chart, or a bar chart if BarLabels is set.
 type Chart struct {
 	Title, XLabel, YLabel string
 	Lines                 []Line
-	BarLabels             []string // names of the x axis, for bars: each line then is one bar group
+	BarLabels             []string // labels of the x axis; each line then holds one bar for each label
 	LogX                  bool
 	LogY                  bool
 	YFromZero             bool // the y axis starts at 0
 	Bands                 []Band
 }
 
-// palette is Okabe and Ito's, which people with colour blindness can tell apart.
+// palette is that of Okabe and Ito, whose colours people with colour blindness can tell apart.
 var palette = []color.Color{
-	rgb(0, 114, 178), rgb(213, 94, 0), rgb(0, 158, 115), rgb(204, 121, 167), rgb(86, 180, 233), rgb(230, 159, 0), rgb(90, 90, 90),
+	rgb(0, 114, 178),
+	rgb(213, 94, 0),
+	rgb(0, 158, 115),
+	rgb(204, 121, 167),
+	rgb(86, 180, 233),
+	rgb(230, 159, 0),
+	rgb(90, 90, 90),
 }
 
 func rgb(r, g, b uint8) color.Color { return color.RGBA{R: r, G: g, B: b, A: 255} }
 
-const width, height = 9 * vg.Inch, 4 * vg.Inch
+const (
+	width  = 9 * vg.Inch
+	height = 4 * vg.Inch
 
-func (c *Chart) plot() (*plot.Plot, error) {
+	// Space for the legend above the data, as a share of the y range: a base, and a part for each line.
+	legendBaseRoom    = 0.08
+	legendRoomPerLine = 0.065
+
+	maxDottedPoints = 30 // points of a line are marked by dots only up to this number
+
+	// Bars are up to maxBarWidth wide and share allBarsWidth; both are in points (1/72 inch).
+	maxBarWidth  = 60
+	allBarsWidth = 420
+)
+
+// newPlot returns the chart as a plot that can be rendered.
+func (c *Chart) newPlot() (*plot.Plot, error) {
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = c.Title, c.XLabel, c.YLabel
-	p.Title.TextStyle.Font.Size, p.Title.Padding = 14, 6
-	p.Legend.Top, p.Legend.Left = true, false
-	p.Legend.XOffs, p.Legend.YOffs, p.Legend.Padding = -4, -2, vg.Points(2)
+	p.Title.Text = c.Title
+	p.Title.TextStyle.Font.Size = 14
+	p.Title.Padding = 6
+	p.X.Label.Text = c.XLabel
+	p.Y.Label.Text = c.YLabel
+
+	p.Legend.Top = true
+	p.Legend.Left = false
+	p.Legend.XOffs = -4
+	p.Legend.YOffs = -2
+	p.Legend.Padding = vg.Points(2)
+
 	grid := plotter.NewGrid()
-	grid.Vertical.Color, grid.Horizontal.Color = rgb(225, 225, 225), rgb(225, 225, 225)
+	grid.Vertical.Color = rgb(225, 225, 225)
+	grid.Horizontal.Color = rgb(225, 225, 225)
 	p.Add(grid)
-	low, high := c.extent()
+
+	low, high := c.yRange()
 	for _, b := range c.Bands {
-		area, err := plotter.NewPolygon(plotter.XYs{{X: b.From, Y: low}, {X: b.To, Y: low}, {X: b.To, Y: high}, {X: b.From, Y: high}})
+		corners := plotter.XYs{{X: b.From, Y: low}, {X: b.To, Y: low}, {X: b.To, Y: high}, {X: b.From, Y: high}}
+		area, err := plotter.NewPolygon(corners)
 		if err != nil {
 			return nil, err
 		}
-		area.Color, area.LineStyle.Width = color.NRGBA{R: 230, G: 190, B: 90, A: 60}, 0
+		area.Color = color.NRGBA{R: 230, G: 190, B: 90, A: 60}
+		area.LineStyle.Width = 0
 		p.Add(area)
 	}
 	if c.BarLabels != nil {
@@ -74,11 +108,11 @@
 			return nil, err
 		}
 	}
-	c.scale(p, low, high)
+	c.setScales(p, low, high)
 	return p, nil
 }
 
-// Empty tells whether the chart has no point to show.
+// Empty reports whether the chart has no point to draw.
 func (c *Chart) Empty() bool {
 	for _, l := range c.Lines {
 		for _, y := range l.Y {
@@ -90,8 +124,8 @@
 	return true
 }
 
-// extent is the range of y over all lines, with room above for the legend.
-func (c *Chart) extent() (low, high float64) {
+// yRange returns the range of the y axis: that of all lines and intervals, with room for the legend above.
+func (c *Chart) yRange() (low, high float64) {
 	low, high = math.Inf(1), math.Inf(-1)
 	for _, l := range c.Lines {
 		for _, ys := range [][]float64{l.Y, l.Low, l.High} {
@@ -108,20 +142,21 @@
 	if c.YFromZero {
 		low = min(low, 0)
 	}
-	room := 0.08 + 0.065*float64(len(c.Lines)) // for the legend
+	legendRoom := legendBaseRoom + legendRoomPerLine*float64(len(c.Lines))
 	if c.LogY {
-		return low * 0.8, high * math.Pow(high/low, room) * 1.2
+		return low * 0.8, high * math.Pow(high/low, legendRoom) * 1.2
 	}
 	if high == low {
 		high = low + 1
 	}
-	return low, high + room*(high-low)
+	return low, high + legendRoom*(high-low)
 }
 
-func (c *Chart) scale(p *plot.Plot, low, high float64) {
+// setScales sets the range of the y axis and the logarithmic scales.
+func (c *Chart) setScales(p *plot.Plot, low, high float64) {
 	p.Y.Min, p.Y.Max = low, high
 	if c.Empty() {
-		return // nothing to scale, and logarithms need something above 0
+		return // a logarithmic scale fails without a value above 0
 	}
 	if c.LogX {
 		p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
@@ -131,18 +166,20 @@
 	}
 }
 
-func (c *Chart) addLine(p *plot.Plot, l Line, col color.Color) error {
+// addLine adds a line with its intervals, and dots if it has few points. Points that a logarithmic axis cannot show are
+// left out.
+func (c *Chart) addLine(p *plot.Plot, data Line, lineColor color.Color) error {
 	var pts plotter.XYs
-	var bars plotter.YErrors
-	for i := range l.X {
-		if math.IsNaN(l.Y[i]) || c.LogY && l.Y[i] <= 0 || c.LogX && l.X[i] <= 0 {
+	var errorBars plotter.YErrors
+	for i := range data.X {
+		if math.IsNaN(data.Y[i]) || c.LogY && data.Y[i] <= 0 || c.LogX && data.X[i] <= 0 {
 			continue
 		}
-		pts = append(pts, plotter.XY{X: l.X[i], Y: l.Y[i]})
-		if l.Low != nil && !math.IsNaN(l.Low[i]) && !(c.LogY && l.Low[i] <= 0) {
-			bars = append(bars, struct{ Low, High float64 }{l.Y[i] - l.Low[i], l.High[i] - l.Y[i]})
+		pts = append(pts, plotter.XY{X: data.X[i], Y: data.Y[i]})
+		if data.Low != nil && !math.IsNaN(data.Low[i]) && !(c.LogY && data.Low[i] <= 0) {
+			errorBars = append(errorBars, struct{ Low, High float64 }{data.Y[i] - data.Low[i], data.High[i] - data.Y[i]})
 		} else {
-			bars = append(bars, struct{ Low, High float64 }{})
+			errorBars = append(errorBars, struct{ Low, High float64 }{})
 		}
 	}
 	if len(pts) == 0 {
@@ -152,107 +189,111 @@
 	if err != nil {
 		return err
 	}
-	line.Color, line.Width = col, vg.Points(1.6)
-	if l.Dashed {
+	line.Color = lineColor
+	line.Width = vg.Points(1.6)
+	if data.Dashed {
 		line.Dashes = []vg.Length{vg.Points(5), vg.Points(3)}
 	}
 	p.Add(line)
-	thumbs := []plot.Thumbnailer{line}
-	if len(pts) <= 30 {
+	thumbnails := []plot.Thumbnailer{line}
+	if len(pts) <= maxDottedPoints {
 		dots, err := plotter.NewScatter(pts)
 		if err != nil {
 			return err
 		}
-		dots.GlyphStyle = draw.GlyphStyle{Color: col, Radius: vg.Points(2.6), Shape: draw.CircleGlyph{}}
+		dots.GlyphStyle = draw.GlyphStyle{
+			Color:  lineColor,
+			Radius: vg.Points(2.6),
+			Shape:  draw.CircleGlyph{},
+		}
 		p.Add(dots)
-		thumbs = append(thumbs, dots)
+		thumbnails = append(thumbnails, dots)
 	}
-	if l.Low != nil {
-		e, err := plotter.NewYErrorBars(struct {
+	if data.Low != nil {
+		intervals, err := plotter.NewYErrorBars(struct {
 			plotter.XYer
 			plotter.YErrorer
-		}{pts, bars})
+		}{pts, errorBars})
 		if err != nil {
 			return err
 		}
-		e.LineStyle.Color = col
-		p.Add(e)
+		intervals.LineStyle.Color = lineColor
+		p.Add(intervals)
 	}
-	if l.Name != "" {
-		p.Legend.Add(l.Name, thumbs...)
+	if data.Name != "" {
+		p.Legend.Add(data.Name, thumbnails...)
 	}
 	return nil
 }
 
-// addBars draws one bar a name for each line, side by side, with its interval.
+// addBars adds the bars of all lines, side by side for each label. Intervals are drawn only if there is a single line.
 func (c *Chart) addBars(p *plot.Plot) error {
-	w := vg.Points(min(60, 420/float64(max(1, len(c.BarLabels)*len(c.Lines)))))
+	barCount := max(1, len(c.BarLabels)*len(c.Lines))
+	barWidth := vg.Points(min(maxBarWidth, allBarsWidth/float64(barCount)))
 	for i, l := range c.Lines {
-		bars, err := plotter.NewBarChart(plotter.Values(l.Y), w)
+		bars, err := plotter.NewBarChart(plotter.Values(l.Y), barWidth)
 		if err != nil {
 			return err
 		}
-		bars.Color, bars.LineStyle.Width = palette[i%len(palette)], 0
-		bars.Offset = w * vg.Length(float64(i)-float64(len(c.Lines)-1)/2)
+		bars.Color = palette[i%len(palette)]
+		bars.LineStyle.Width = 0
+		bars.Offset = barWidth * vg.Length(float64(i)-float64(len(c.Lines)-1)/2)
 		p.Add(bars)
 		if l.Name != "" {
 			p.Legend.Add(l.Name, bars)
 		}
 	}
 	p.NominalX(c.BarLabels...)
-	low, high := c.extent()
+	low, high := c.yRange()
 	p.Y.Min, p.Y.Max = min(low, 0), high
-	for i, l := range c.Lines {
-		if l.Low != nil && len(c.Lines) == 1 {
-			if err := addWhiskers(p, l, i); err != nil {
-				return err
-			}
-		}
+	if len(c.Lines) == 1 && c.Lines[0].Low != nil {
+		return addErrorBars(p, c.Lines[0])
 	}
 	return nil
 }
 
-func addWhiskers(p *plot.Plot, l Line, _ int) error {
+// addErrorBars adds the intervals of a single group of bars.
+func addErrorBars(p *plot.Plot, data Line) error {
 	var pts plotter.XYs
-	var bars plotter.YErrors
-	for i := range l.Y {
-		if math.IsNaN(l.Low[i]) {
+	var errorBars plotter.YErrors
+	for i := range data.Y {
+		if math.IsNaN(data.Low[i]) {
 			continue
 		}
-		pts = append(pts, plotter.XY{X: float64(i), Y: l.Y[i]})
-		bars = append(bars, struct{ Low, High float64 }{l.Y[i] - l.Low[i], l.High[i] - l.Y[i]})
+		pts = append(pts, plotter.XY{X: float64(i), Y: data.Y[i]})
+		errorBars = append(errorBars, struct{ Low, High float64 }{data.Y[i] - data.Low[i], data.High[i] - data.Y[i]})
 	}
 	if len(pts) == 0 {
 		return nil
 	}
-	e, err := plotter.NewYErrorBars(struct {
+	intervals, err := plotter.NewYErrorBars(struct {
 		plotter.XYer
 		plotter.YErrorer
-	}{pts, bars})
+	}{pts, errorBars})
 	if err == nil {
-		p.Add(e)
+		p.Add(intervals)
 	}
 	return err
 }
 
-// Image returns the chart as "svg" or "png".
+// Image renders the chart in the given format, "svg" or "png".
 func (c *Chart) Image(format string) ([]byte, error) {
-	p, err := c.plot()
+	p, err := c.newPlot()
 	if err != nil {
 		return nil, err
 	}
-	w, err := p.WriterTo(width, height, format)
+	writer, err := p.WriterTo(width, height, format)
 	if err != nil {
 		return nil, err
 	}
 	var out bytes.Buffer
-	if _, err := w.WriteTo(&out); err != nil {
+	if _, err := writer.WriteTo(&out); err != nil {
 		return nil, err
 	}
 	return out.Bytes(), nil
 }
 
-// Save writes the chart as NAME.svg and NAME.png into a folder.
+// Save writes the chart to a folder as NAME.svg and NAME.png.
 func (c *Chart) Save(folder, name string) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return err
@@ -269,7 +310,7 @@
 	return nil
 }
 
-// FileName turns a title into a file's name.
+// FileName turns a title into a file name of lower-case letters, digits and hyphens.
 func FileName(title string) string {
 	return strings.Trim(strings.Map(func(r rune) rune {
 		switch {
--- a/lab/chart/page.go
+++ b/lab/chart/page.go
@@ -1,4 +1,4 @@
-// This file owns the page: charts, tables and notes in one HTML file without any reference to another.
+// This file owns the HTML page of charts, tables and notes. The page must never refer to another file or address.
 
 package chart
 
@@ -8,20 +8,20 @@
 	"strings"
 )
 
-// Table is rows of text under a head.
+// Table is a header and rows of text cells.
 type Table struct {
 	Title string
 	Head  []string
 	Rows  [][]string
 }
 
-// Page is one HTML page.
+// Page is the content of an HTML page.
 type Page struct {
 	Title  string
 	About  string
 	Tables []Table
 	Charts []*Chart
-	Notes  []string // shown as they are, in a fixed pitch
+	Notes  []string // preformatted text
 }
 
 var pageTemplate = template.Must(template.New("page").Parse(`<!doctype html>
@@ -42,7 +42,7 @@
 </body></html>
 `))
 
-// HTML returns the page.
+// HTML renders the page.
 func (p *Page) HTML() ([]byte, error) {
 	var images []template.HTML
 	for _, c := range p.Charts {
@@ -50,11 +50,11 @@
 		if err != nil {
 			return nil, err
 		}
-		text := string(svg)
-		if i := strings.Index(text, "<svg"); i > 0 { // without the XML head
-			text = text[i:]
+		element := string(svg)
+		if i := strings.Index(element, "<svg"); i > 0 { // drop the XML declaration
+			element = element[i:]
 		}
-		images = append(images, template.HTML(text)) // made by the plot library, which escapes what it is given
+		images = append(images, template.HTML(element)) // safe: the plot library escapes all text that it draws
 	}
 	var out bytes.Buffer
 	err := pageTemplate.Execute(&out, struct {
@@ -64,18 +64,18 @@
 	return out.Bytes(), err
 }
 
-// Markdown returns a table in Markdown.
+// Markdown renders the table as Markdown.
 func (t Table) Markdown() string {
 	var b strings.Builder
-	line := func(cells []string) { b.WriteString("| " + strings.Join(cells, " | ") + " |\n") }
-	line(t.Head)
-	rule := make([]string, len(t.Head))
-	for i := range rule {
-		rule[i] = "---"
+	writeRow := func(cells []string) { b.WriteString("| " + strings.Join(cells, " | ") + " |\n") }
+	writeRow(t.Head)
+	separator := make([]string, len(t.Head))
+	for i := range separator {
+		separator[i] = "---"
 	}
-	line(rule)
+	writeRow(separator)
 	for _, r := range t.Rows {
-		line(r)
+		writeRow(r)
 	}
 	return b.String()
 }
