--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -16,7 +16,8 @@
 	"eiderhaven/lab/tally"
 )
 
-func plan(t *testing.T) *Plan {
+// testPlan returns a plan of twelve short runs: two values of one axis, two policies and three seeds.
+func testPlan(t *testing.T) *Plan {
 	t.Helper()
 	s, err := scenario.Load("../scenarios/calm.toml")
 	if err == nil {
@@ -29,7 +30,8 @@
 		Axes: []Axis{{Key: "senders.count", Values: []string{"1", "40"}}}}
 }
 
-func folder(t *testing.T, path string) map[string]string {
+// readFolder returns the contents of the files that a finished sweep writes, by name.
+func readFolder(t *testing.T, path string) map[string]string {
 	t.Helper()
 	out := map[string]string{}
 	for _, name := range []string{planFile, csvFile, jsonFile, scenarioFile} {
@@ -42,11 +44,12 @@
 	return out
 }
 
-// TestABrokenOffSweepComesToTheSameBytes breaks a sweep off after some runs, tears its last row, resumes it with another
-// number of jobs, and compares the folder with one that was played at once.
-func TestABrokenOffSweepComesToTheSameBytes(t *testing.T) {
-	whole := filepath.Join(t.TempDir(), "whole")
-	f, err := Create(whole, plan(t), false)
+// TestResumedSweepWritesTheSameBytes guards against results that depend on an interruption: it interrupts a sweep after
+// some runs, truncates its last row, resumes it with another number of jobs, and compares the folder with that of an
+// uninterrupted sweep.
+func TestResumedSweepWritesTheSameBytes(t *testing.T) {
+	uninterrupted := filepath.Join(t.TempDir(), "uninterrupted")
+	f, err := Create(uninterrupted, testPlan(t), false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,9 +60,9 @@
 		t.Fatal(err)
 	}
 
-	broken := filepath.Join(t.TempDir(), "broken")
+	interrupted := filepath.Join(t.TempDir(), "interrupted")
 	ctx, stop := context.WithCancel(context.Background())
-	if f, err = Create(broken, plan(t), false); err != nil {
+	if f, err = Create(interrupted, testPlan(t), false); err != nil {
 		t.Fatal(err)
 	}
 	err = Play(ctx, f, 2, func(n, _ int) {
@@ -68,28 +71,29 @@
 		}
 	})
 	if !errors.Is(err, context.Canceled) || len(f.Missing()) == 0 {
-		t.Fatalf("%v, %d runs missing: want it broken off", err, len(f.Missing()))
+		t.Fatalf("%v, %d runs missing: want an interrupted sweep", err, len(f.Missing()))
 	}
-	missing := len(f.Missing()) // how many were under way when it was broken off varies
+	missing := len(f.Missing()) // varies with the runs in progress at the interruption
 	if err := f.Close(); err != nil {
 		t.Fatal(err)
 	}
-	part := filepath.Join(broken, partFile)
-	text, err := os.ReadFile(part)
+	rowLog := filepath.Join(interrupted, rowLogFile)
+	text, err := os.ReadFile(rowLog)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(part, text[:len(text)-20], 0o644); err != nil {
+	const truncatedBytes = 20 // less than a row, so that the last one is incomplete
+	if err := os.WriteFile(rowLog, text[:len(text)-truncatedBytes], 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Create(broken, plan(t), false); err == nil || !strings.Contains(err.Error(), "--resume") {
-		t.Errorf("%v: want a folder that is there refused, with what to do", err)
+	if _, err := Create(interrupted, testPlan(t), false); err == nil || !strings.Contains(err.Error(), "--resume") {
+		t.Errorf("%v: want an existing folder refused with a hint at --resume", err)
 	}
-	if f, err = Create(broken, plan(t), true); err != nil {
+	if f, err = Create(interrupted, testPlan(t), true); err != nil {
 		t.Fatal(err)
 	}
 	if len(f.Missing()) != missing+1 {
-		t.Errorf("%d runs to play, want %d and the torn row", len(f.Missing()), missing)
+		t.Errorf("%d runs to play, want %d and that of the truncated row", len(f.Missing()), missing)
 	}
 	if err := Play(context.Background(), f, 3, nil); err != nil {
 		t.Fatal(err)
@@ -97,58 +101,59 @@
 	if err := f.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(folder(t, whole), folder(t, broken)); diff != "" {
+	if diff := cmp.Diff(readFolder(t, uninterrupted), readFolder(t, interrupted)); diff != "" {
 		t.Errorf("the resumed sweep differs:\n%s", diff)
 	}
-	if err := f.Report(); err != nil { // also draws an axis of numbers on which a figure has no point
+	if err := f.Report(); err != nil { // also covers a metric that has no point on a numeric axis
 		t.Fatal(err)
 	}
-	page, err := os.ReadFile(filepath.Join(broken, "report.html"))
-	if err != nil || strings.Count(string(page), "<svg") != len(figures)-1 || strings.Contains(string(page), "src=") {
-		t.Errorf("%v: want a page with %d charts in it (a calm day has no recovery) and nothing from outside", err, len(figures)-1)
+	page, err := os.ReadFile(filepath.Join(interrupted, "report.html"))
+	wantCharts := len(reportMetrics) - 1 // a run without outages has no recovery time
+	if err != nil || strings.Count(string(page), "<svg") != wantCharts || strings.Contains(string(page), "src=") {
+		t.Errorf("%v: want a page with %d embedded charts and no reference to other files", err, wantCharts)
 	}
 }
 
-func TestAnotherPlanIsNotResumed(t *testing.T) {
+func TestResumeRefusesAnotherPlan(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x")
-	f, err := Create(path, plan(t), false)
+	f, err := Create(path, testPlan(t), false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	f.Close()
-	other := plan(t)
+	other := testPlan(t)
 	other.Seeds = Seeds(1, 4)
 	if _, err := Create(path, other, true); err == nil || !strings.Contains(err.Error(), "another plan") {
 		t.Errorf("%v: want it refused", err)
 	}
 }
 
-func TestPlansAreCheckedBeforeTheyAreplayed(t *testing.T) {
+func TestValidateRefusesBadPlans(t *testing.T) {
 	for _, row := range []struct {
-		change func(*Plan)
-		says   string
+		change    func(*Plan)
+		wantError string
 	}{
 		{func(p *Plan) { p.Policies = []string{"nonsense"} }, `policy "nonsense" is unknown: expected one of`},
 		{func(p *Plan) { p.Axes[0].Key = "senders.cuont" }, "there is no key"},
 		{func(p *Plan) { p.Axes[0].Values = []string{"1", "-4"} }, "out of range"},
-		{func(p *Plan) { p.Seeds = nil }, "needs a seed"},
+		{func(p *Plan) { p.Seeds = nil }, "needs at least one seed"},
 	} {
-		p := plan(t)
+		p := testPlan(t)
 		row.change(p)
-		if err := p.Validate(); err == nil || !strings.Contains(err.Error(), row.says) {
-			t.Errorf("%v, want it to say %q", err, row.says)
+		if err := p.Validate(); err == nil || !strings.Contains(err.Error(), row.wantError) {
+			t.Errorf("%v, want an error that contains %q", err, row.wantError)
 		}
 	}
 }
 
-// TestIntervalsHoldAsOftenAsTheySay draws samples of a known mean.
-func TestIntervalsHoldAsOftenAsTheySay(t *testing.T) {
+// TestEstimateMeanGivesStudentTInterval compares an interval with one computed by hand.
+func TestEstimateMeanGivesStudentTInterval(t *testing.T) {
 	e := EstimateMean([]float64{1, 2, 3, 4, 5})
 	if math.Abs(e.Mean-3) > 1e-12 || math.Abs(e.HalfWidth-1.9632) > 1e-3 { // 2.776 * 1.5811 / sqrt 5
 		t.Errorf("%v, want 3 ± 1.963", e)
 	}
 	if !math.IsNaN(EstimateMean([]float64{1}).HalfWidth) {
-		t.Error("one run says nothing of spread")
+		t.Error("want no interval from a single run")
 	}
 }
 
@@ -158,14 +163,15 @@
 	}
 	a := []Row{row(1, 0.5), row(2, 0.9), row(3, 0.1)}
 	b := []Row{row(2, 0.95), row(1, 0.56), row(9, 0)}
-	diffs, pairs, alone := Compare(a, b, pairKey)
-	if d := diffs[0]; pairs != 2 || alone != 2 || d.Name != "g" || math.Abs(d.Diff.Mean-0.055) > 1e-9 || d.Higher != 2 {
-		t.Errorf("%d pairs, %d alone, %+v; want 2, 2, +0.055", pairs, alone, diffs[0])
+	diffs, pairs, unmatched := Compare(a, b, pairKey)
+	if d := diffs[0]; pairs != 2 || unmatched != 2 || d.Name != "g" || math.Abs(d.Diff.Mean-0.055) > 1e-9 || d.Higher != 2 {
+		t.Errorf("%d pairs, %d unmatched, %+v; want 2, 2, +0.055", pairs, unmatched, diffs[0])
 	}
 }
 
-// TestTheHuntFindsAPlantedWeakness lowers the room so far that any trouble hurts, and looks for days found twice alike.
-func TestTheHuntFindsTheSameDaysAgain(t *testing.T) {
+// TestHuntIsReproducible runs two hunts from the same first seed with different numbers of jobs. Both must find the
+// same days and minimize at least one.
+func TestHuntIsReproducible(t *testing.T) {
 	s, err := scenario.Load("../scenarios/outage.toml")
 	if err == nil {
 		s, err = s.Set("run.length", "20s")
@@ -173,32 +179,32 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var texts [2][]string
-	for i := range texts {
+	var descriptions [2][]string
+	for i := range descriptions {
 		found, err := Hunt(context.Background(), s, 1, 12, 3, 2+i, nil)
 		if err != nil || len(found) == 0 {
 			t.Fatal(err, "nothing found")
 		}
-		cut := false
+		anyMinimized := false
 		for _, f := range found {
-			cut = cut || len(f.Scenario.Troubles) < len(drawTroubles(s, f.Seed).Troubles)
+			anyMinimized = anyMinimized || len(f.Scenario.Troubles) < len(drawTroubles(s, f.Seed).Troubles)
 		}
-		if !cut {
-			t.Error("no day was cut down to the troubles that matter")
+		if !anyMinimized {
+			t.Error("no day was minimized")
 		}
 		for _, f := range found {
-			texts[i] = append(texts[i], f.TroubleKinds()+" "+f.Reason())
+			descriptions[i] = append(descriptions[i], f.TroubleKinds()+" "+f.Reason())
 			if len(f.Scenario.Troubles) > 5 || f.Loss <= 0 {
 				t.Errorf("%s: loss %.3f", f.TroubleKinds(), f.Loss)
 			}
 		}
 	}
-	if diff := cmp.Diff(texts[0], texts[1]); diff != "" {
+	if diff := cmp.Diff(descriptions[0], descriptions[1]); diff != "" {
 		t.Errorf("two hunts from one seed differ:\n%s", diff)
 	}
 }
 
-func TestAHuntThatIsBrokenOffEnds(t *testing.T) {
+func TestCancelledHuntEnds(t *testing.T) {
 	s, err := scenario.Load("../scenarios/outage.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -206,6 +212,6 @@
 	ctx, stop := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer stop()
 	if _, err := Hunt(ctx, s, 1, 1000, 3, 2, nil); err == nil {
-		t.Log("some days were played before the end")
+		t.Log("some days were played before the cancellation")
 	}
 }
--- a/lab/experiment/folder.go
+++ b/lab/experiment/folder.go
@@ -1,6 +1,6 @@
-// This file owns the folder of an experiment: what is written when, and what a broken-off one leaves. Rows go into
-// rows.jsonl as runs finish, each with one write; when all are there, rows.csv and rows.json are written in the plan's
-// order. It must never write over a folder of another plan.
+// This file owns the result folder of an experiment. Each row is appended to rows.jsonl with a single write when its
+// run finishes, so an interrupted sweep leaves at most one incomplete line, the last. Once all rows exist, rows.csv and
+// rows.json are written in the plan's order. The results of another plan must never be overwritten.
 
 package experiment
 
@@ -22,13 +22,13 @@
 	"eiderhaven/lab/tally"
 )
 
-// Row is one finished run.
+// Row is one finished run: its place in the plan and its result.
 type Row struct {
 	Point
 	Result tally.Result
 }
 
-// UnmarshalJSON reads a row; both parts hold a policy and a seed, which are the same.
+// UnmarshalJSON decodes a row from the flat object that MarshalJSON writes. Policy and seed go into both parts.
 func (r *Row) UnmarshalJSON(text []byte) error {
 	if err := json.Unmarshal(text, &r.Result); err != nil {
 		return err
@@ -36,7 +36,7 @@
 	return json.Unmarshal(text, &r.Point)
 }
 
-// MarshalJSON writes a row as one flat object.
+// MarshalJSON encodes a row as one flat object.
 func (r Row) MarshalJSON() ([]byte, error) {
 	point, err := json.Marshal(r.Point)
 	if err != nil {
@@ -51,36 +51,37 @@
 	return append(append(point[:len(point)-1], ','), rest[1:]...), nil
 }
 
-// Folder is an experiment's folder.
+// Folder is the result folder of an experiment.
 type Folder struct {
-	Path string
-	Plan *Plan
-	rows map[int]Row
-	file *os.File
+	Path        string
+	Plan        *Plan
+	rowsByIndex map[int]Row // finished runs by Point.Index
+	rowLog      *os.File    // rows.jsonl, open for appending; nil if the folder was opened for reading
 }
 
 const (
 	scenarioFile = "scenario.toml"
 	planFile     = "plan.json"
-	partFile     = "rows.jsonl"
+	rowLogFile   = "rows.jsonl"
 	csvFile      = "rows.csv"
 	jsonFile     = "rows.json"
 )
 
-// Create makes a folder for a plan. One that is there already is refused, unless resume is set and it holds the same plan
-// played by the same build.
+// Create creates a result folder for a plan. With resume, it continues an existing folder, which must hold the same
+// plan played by the same build; without, it refuses a folder that already holds an experiment.
 func Create(path string, p *Plan, resume bool) (*Folder, error) {
-	text, err := p.Scenario.Encode()
+	scenarioText, err := p.Scenario.Encode()
 	if err != nil {
 		return nil, err
 	}
-	want := p.manifest(text).text()
-	have, err := os.ReadFile(filepath.Join(path, planFile))
+	wantedPlan := p.manifest(scenarioText).encode()
+	existingPlan, err := os.ReadFile(filepath.Join(path, planFile))
 	switch {
 	case err == nil && !resume:
-		return nil, fmt.Errorf("%s holds an experiment already: name another folder, or add --resume to finish it", path)
-	case err == nil && !bytes.Equal(have, want):
-		return nil, fmt.Errorf("%s holds another plan, or one played by another build: it cannot be finished with this one; see its %s", path, planFile)
+		return nil, fmt.Errorf("%s already holds an experiment: choose another folder, or add --resume to finish it", path)
+	case err == nil && !bytes.Equal(existingPlan, wantedPlan):
+		return nil, fmt.Errorf("%s holds another plan, or one played by another build, and cannot be resumed with this one; "+
+			"compare its %s", path, planFile)
 	case err != nil && !errors.Is(err, fs.ErrNotExist):
 		return nil, err
 	case err != nil && resume:
@@ -89,24 +90,26 @@
 		if err := os.MkdirAll(path, 0o755); err != nil {
 			return nil, err
 		}
-		if err := os.WriteFile(filepath.Join(path, scenarioFile), text, 0o644); err != nil {
+		if err := os.WriteFile(filepath.Join(path, scenarioFile), scenarioText, 0o644); err != nil {
 			return nil, err
 		}
-		if err := os.WriteFile(filepath.Join(path, planFile), want, 0o644); err != nil {
+		if err := os.WriteFile(filepath.Join(path, planFile), wantedPlan, 0o644); err != nil {
 			return nil, err
 		}
 	}
-	f := &Folder{Path: path, Plan: p, rows: map[int]Row{}}
-	if err := f.readPart(); err != nil {
+	f := &Folder{Path: path, Plan: p, rowsByIndex: map[int]Row{}}
+	if err := f.readRowLog(); err != nil {
 		return nil, err
 	}
-	f.file, err = os.OpenFile(filepath.Join(path, partFile), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
+	f.rowLog, err = os.OpenFile(filepath.Join(path, rowLogFile), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 	return f, err
 }
 
-// readPart reads the rows of runs that have finished. A last line that was torn is cut off, and its run played again.
-func (f *Folder) readPart() error {
-	path := filepath.Join(f.Path, partFile)
+// readRowLog reads the rows of finished runs from rows.jsonl. It truncates the file at the first line that is
+// incomplete or not valid, as a crash in the middle of a write leaves it; the runs of the removed lines are played
+// again.
+func (f *Folder) readRowLog() error {
+	path := filepath.Join(f.Path, rowLogFile)
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil
@@ -115,33 +118,34 @@
 		return err
 	}
 	points := f.Plan.Points()
-	whole := 0
+	validBytes := 0
 	for line := range bytes.Lines(text) {
 		var r Row
 		if !bytes.HasSuffix(line, []byte("\n")) || json.Unmarshal(line, &r) != nil {
 			break
 		}
 		if r.Index < 0 || r.Index >= len(points) {
-			return fmt.Errorf("%s: a row of run %d, of which the plan knows nothing", path, r.Index)
+			return fmt.Errorf("%s: row of run %d, which is not in the plan", path, r.Index)
 		}
-		whole += len(line)
-		f.rows[r.Index] = r
+		validBytes += len(line)
+		f.rowsByIndex[r.Index] = r
 	}
-	if whole < len(text) {
-		return os.Truncate(path, int64(whole))
+	if validBytes < len(text) {
+		return os.Truncate(path, int64(validBytes))
 	}
 	return nil
 }
 
-// Missing lists the runs that have no row yet.
+// Missing returns the runs that have no row yet.
 func (f *Folder) Missing() []Point {
 	return slices.DeleteFunc(f.Plan.Points(), func(p Point) bool {
-		_, done := f.rows[p.Index]
+		_, done := f.rowsByIndex[p.Index]
 		return done
 	})
 }
 
-// Add keeps a finished run. The series over time stay out: a grid would drown in them, and replay brings any back.
+// Add stores a finished run without its time series and log. These would make the results of a grid very large, and
+// playing the run again with the same seed reproduces them.
 func (f *Folder) Add(p Point, r *tally.Result) error {
 	row := Row{Point: p, Result: *r}
 	row.Result.Series, row.Result.BusiestDestinations, row.Result.Log = nil, nil, nil
@@ -149,8 +153,8 @@
 	if err != nil {
 		return err
 	}
-	f.rows[p.Index] = row
-	_, err = f.file.Write(append(line, '\n'))
+	f.rowsByIndex[p.Index] = row
+	_, err = f.rowLog.Write(append(line, '\n'))
 	return err
 }
 
@@ -158,16 +162,16 @@
 func (f *Folder) Rows() []Row {
 	var out []Row
 	for _, p := range f.Plan.Points() {
-		if r, done := f.rows[p.Index]; done {
+		if r, done := f.rowsByIndex[p.Index]; done {
 			out = append(out, r)
 		}
 	}
 	return out
 }
 
-// Close ends writing; with all runs there it writes the tables, in an order that does not depend on who finished first.
+// Close closes rows.jsonl and, if all runs are finished, writes rows.json and rows.csv in the plan's order.
 func (f *Folder) Close() error {
-	if err := f.file.Close(); err != nil {
+	if err := f.rowLog.Close(); err != nil {
 		return err
 	}
 	if len(f.Missing()) > 0 {
@@ -181,13 +185,13 @@
 	if err := os.WriteFile(filepath.Join(f.Path, jsonFile), append(text, '\n'), 0o644); err != nil {
 		return err
 	}
-	return os.WriteFile(filepath.Join(f.Path, csvFile), f.csv(rows), 0o644)
+	return os.WriteFile(filepath.Join(f.Path, csvFile), f.encodeCSV(rows), 0o644)
 }
 
-// Columns are the figures of a run that tables hold, in order.
+// Columns are the metrics of a run in the order of table columns.
 var Columns = []struct {
-	Name string
-	Of   func(*tally.Result) float64
+	Name  string
+	Value func(*tally.Result) float64
 }{
 	{"g", func(r *tally.Result) float64 { return r.G }},
 	{"whole", func(r *tally.Result) float64 { return r.Whole }},
@@ -208,38 +212,40 @@
 	{"mean_ms", func(r *tally.Result) float64 { return r.Mean }},
 	{"p50_ms", func(r *tally.Result) float64 { return r.P50 }},
 	{"p99_ms", func(r *tally.Result) float64 { return r.P99 }},
-	{"recovery_s", recoveryOf},
+	{"recovery_s", recoverySeconds},
 	{"outages", func(r *tally.Result) float64 { return float64(r.Outages) }},
 	{"units_fallen", func(r *tally.Result) float64 { return float64(r.UnitsOverloaded) }},
 	{"rules_broken", func(r *tally.Result) float64 { return float64(r.ViolationCount) }},
 	{"events", func(r *tally.Result) float64 { return float64(r.Events) }},
 }
 
-// recoveryOf is NaN for a run that had no outage, or was not over it by its end.
-func recoveryOf(r *tally.Result) float64 {
+// recoverySeconds returns the recovery time after the last outage, or NaN if the run had no outage or ended before it
+// had recovered.
+func recoverySeconds(r *tally.Result) float64 {
 	if r.Recovery < 0 {
 		return math.NaN()
 	}
 	return r.Recovery
 }
 
-func (f *Folder) csv(rows []Row) []byte {
+// encodeCSV returns the rows as CSV, with a column for each axis and metric.
+func (f *Folder) encodeCSV(rows []Row) []byte {
 	var out bytes.Buffer
 	w := csv.NewWriter(&out)
-	head := []string{"index"}
+	header := []string{"index"}
 	for _, a := range f.Plan.Axes {
-		head = append(head, a.Key)
+		header = append(header, a.Key)
 	}
-	head = append(head, "policy", "seed")
+	header = append(header, "policy", "seed")
 	for _, c := range Columns {
-		head = append(head, c.Name)
+		header = append(header, c.Name)
 	}
-	_ = w.Write(append(head, "stopped")) // a buffer takes everything
+	_ = w.Write(append(header, "stopped")) // writing to a buffer cannot fail
 	for _, r := range rows {
 		line := append([]string{strconv.Itoa(r.Index)}, r.AxisValues...)
 		line = append(line, r.Point.Policy, strconv.FormatUint(r.Point.Seed, 10))
 		for _, c := range Columns {
-			line = append(line, strconv.FormatFloat(c.Of(&r.Result), 'g', 8, 64))
+			line = append(line, strconv.FormatFloat(c.Value(&r.Result), 'g', 8, 64))
 		}
 		_ = w.Write(append(line, r.Result.Stopped))
 	}
@@ -247,7 +253,7 @@
 	return out.Bytes()
 }
 
-// Open reads a folder that has been finished, or as far as it goes.
+// Open reads an existing result folder, which may be unfinished.
 func Open(path string) (*Folder, error) {
 	text, err := os.ReadFile(filepath.Join(path, planFile))
 	if err != nil {
@@ -257,11 +263,11 @@
 	if err := json.Unmarshal(text, &m); err != nil {
 		return nil, fmt.Errorf("%s: %s: %w", path, planFile, err)
 	}
-	f := &Folder{Path: path, Plan: &m.Plan, rows: map[int]Row{}}
+	f := &Folder{Path: path, Plan: &m.Plan, rowsByIndex: map[int]Row{}}
 	if f.Plan.Scenario, err = scenario.Load(filepath.Join(path, scenarioFile)); err != nil {
 		return nil, err
 	}
-	file, err := os.Open(filepath.Join(path, partFile))
+	file, err := os.Open(filepath.Join(path, rowLogFile))
 	if err != nil {
 		return nil, err
 	}
@@ -270,12 +276,12 @@
 	for {
 		line, err := lines.ReadBytes('\n')
 		if err != nil {
-			return f, nil // the end, or a torn last line
+			return f, nil // end of the file, or an incomplete last line
 		}
 		var r Row
 		if err := json.Unmarshal(line, &r); err != nil {
-			return nil, fmt.Errorf("%s: %s: %w", path, partFile, err)
+			return nil, fmt.Errorf("%s: %s: %w", path, rowLogFile, err)
 		}
-		f.rows[r.Index] = r
+		f.rowsByIndex[r.Index] = r
 	}
 }
--- a/lab/experiment/hunt.go
+++ b/lab/experiment/hunt.go
@@ -1,5 +1,7 @@
-// This file owns the hunt: days drawn at random on which the module falls far behind the yardstick, or breaks a rule, cut
-// down to the troubles that matter. It must never change the day's settings, only what goes wrong and the seed.
+// This file owns the hunt, a randomized search for days on which the decision module breaks a rule or serves far less
+// worth than the oracle policy. A day is one run of the scenario with drawn troubles (injected faults) and a seed of
+// its own. Each day found is minimized to the troubles that cause its loss. The hunt must never change settings of the
+// scenario other than its troubles.
 
 package experiment
 
@@ -20,16 +22,28 @@
 	"eiderhaven/lab/world"
 )
 
-// Found is a day that the hunt brought home.
+const (
+	// ruleViolationLoss is the loss of a day on which the module breaks a rule, plus up to 1 for the number of
+	// violations. It ranks such days before all others, whose loss is a difference of two scores.
+	ruleViolationLoss = 1
+
+	// maxCountedViolations is the number of violations beyond which the loss of a day grows no further.
+	maxCountedViolations = 100
+
+	// minimizedLossShare is the share of a day's loss that must remain for a trouble to be removed from it.
+	minimizedLossShare = 0.8
+)
+
+// Finding is a day on which the decision module did badly.
 type Finding struct {
 	Scenario *scenario.Scenario
 	Seed     uint64
 	Module   *tally.Result
 	Oracle   *tally.Result
-	Loss     float64 // what the module lost against the yardstick; 1 and more for a broken rule
+	Loss     float64 // the oracle's score G less the module's; above 1 if the module broke a rule
 }
 
-// Why says in a few words what is wrong with the day.
+// Reason describes in a few words why the day is bad: the broken rules, or both scores.
 func (f Finding) Reason() string {
 	if f.Module.ViolationCount > 0 {
 		var names []string
@@ -42,7 +56,7 @@
 	return fmt.Sprintf("G %.3f, oracle %.3f", f.Module.G, f.Oracle.G)
 }
 
-// Kinds says in a few words what goes wrong on the day.
+// TroubleKinds returns the kinds of the day's troubles, joined by "+", or "none".
 func (f Finding) TroubleKinds() string {
 	var names []string
 	for _, t := range f.Scenario.Troubles {
@@ -54,61 +68,66 @@
 	return strings.Join(names, "+")
 }
 
-// Hunt draws so many days and returns the worst, at most keep, each cut down. The same first seed finds the same days.
-func Hunt(ctx context.Context, s *scenario.Scenario, first uint64, days, keep, jobs int, done func(played int)) ([]Finding, error) {
+// Hunt plays the given number of randomly drawn days, up to jobs of them at once, and returns up to keep of the worst,
+// each minimized, worst first. It calls done, if it is not nil, after each day. The same first seed always finds the
+// same days.
+func Hunt(
+	ctx context.Context, s *scenario.Scenario, firstSeed uint64, days, keep, jobs int, done func(played int),
+) ([]Finding, error) {
 	results := make([]*Finding, days)
-	g, playing := errgroup.WithContext(ctx)
+	g, groupCtx := errgroup.WithContext(ctx)
 	g.SetLimit(max(jobs, 1))
-	progress := make(chan struct{}, days)
+	dayDone := make(chan struct{}, days)
 	for i := range days {
 		g.Go(func() error {
-			defer func() { progress <- struct{}{} }()
-			seed := first + uint64(i)
-			f, err := judgeDay(playing, drawTroubles(s, seed), seed)
+			defer func() { dayDone <- struct{}{} }()
+			seed := firstSeed + uint64(i)
+			f, err := playDay(groupCtx, drawTroubles(s, seed), seed)
 			results[i] = f
 			return err
 		})
 	}
-	finished := make(chan struct{})
+	reporterDone := make(chan struct{})
 	go func() {
-		defer close(finished)
+		defer close(reporterDone)
 		for n := 1; n <= days; n++ {
 			select {
-			case <-progress:
+			case <-dayDone:
 				if done != nil {
 					done(n)
 				}
-			case <-playing.Done():
+			case <-groupCtx.Done():
 				return
 			}
 		}
 	}()
 	err := g.Wait()
-	<-finished
+	<-reporterDone
 	var found []Finding
-	for _, f := range results {
-		if f != nil {
-			found = append(found, *f)
+	for _, finding := range results {
+		if finding != nil {
+			found = append(found, *finding)
 		}
 	}
 	if err != nil && len(found) == 0 {
 		return nil, err
 	}
 	slices.SortStableFunc(found, func(a, b Finding) int { return cmp.Compare(b.Loss, a.Loss) })
-	found = pickDifferent(found, keep)
+	found = worstPerTroubleSet(found, keep)
 	for i := range found {
 		if ctx.Err() != nil {
-			break // as they were drawn is better than nothing
+			break // return the remaining days as drawn, not minimized
 		}
-		if cut, err := cutDown(ctx, found[i]); err == nil {
-			found[i] = cut
+		if minimized, err := minimize(ctx, found[i]); err == nil {
+			found[i] = minimized
 		}
 	}
 	return found, nil
 }
 
-// pickDifferent keeps the worst day of each set of troubles.
-func pickDifferent(found []Finding, keep int) []Finding {
+// worstPerTroubleSet returns up to keep days with a loss: of days sorted worst first, the first one for each set of
+// trouble kinds.
+func worstPerTroubleSet(found []Finding, keep int) []Finding {
 	seen := map[string]bool{}
 	var out []Finding
 	for _, f := range found {
@@ -126,33 +145,37 @@
 	return out
 }
 
-func judgeDay(ctx context.Context, s *scenario.Scenario, seed uint64) (*Finding, error) {
+// playDay plays a scenario with the decision module and with the oracle. It returns nil without an error if ctx ended
+// before both runs were finished.
+func playDay(ctx context.Context, s *scenario.Scenario, seed uint64) (*Finding, error) {
 	module, err := world.Run(s, world.Options{Seed: seed, Workers: 1, Stop: ctx.Done()})
 	if err != nil || ctx.Err() != nil {
 		return nil, err
 	}
-	ideal, err := world.Run(s, world.Options{Seed: seed, Policy: "oracle", Workers: 1, Stop: ctx.Done()})
+	oracle, err := world.Run(s, world.Options{Seed: seed, Policy: oraclePolicy, Workers: 1, Stop: ctx.Done()})
 	if err != nil || ctx.Err() != nil {
 		return nil, err
 	}
-	f := &Finding{Scenario: s, Seed: seed, Module: module, Oracle: ideal, Loss: ideal.G - module.G}
+	f := &Finding{Scenario: s, Seed: seed, Module: module, Oracle: oracle, Loss: oracle.G - module.G}
 	if module.ViolationCount > 0 {
-		f.Loss = 1 + float64(min(module.ViolationCount, 100))/100
+		f.Loss = ruleViolationLoss + float64(min(module.ViolationCount, maxCountedViolations))/maxCountedViolations
 	}
 	return f, nil
 }
 
-// cutDown leaves out each trouble without which the day is nearly as bad.
-func cutDown(ctx context.Context, f Finding) (Finding, error) {
+// minimize removes each trouble without which the day stays nearly as bad or still breaks a rule.
+func minimize(ctx context.Context, f Finding) (Finding, error) {
 	for i := 0; i < len(f.Scenario.Troubles); {
 		s := *f.Scenario
 		s.Troubles = slices.Delete(slices.Clone(s.Troubles), i, i+1)
-		less, err := judgeDay(ctx, &s, f.Seed)
-		if err != nil || less == nil {
+		reduced, err := playDay(ctx, &s, f.Seed)
+		if err != nil || reduced == nil {
 			return f, cmp.Or(err, ctx.Err())
 		}
-		if less.Loss >= 0.8*f.Loss || f.Loss >= 1 && less.Loss >= 1 {
-			f = *less
+		nearlyAsBad := reduced.Loss >= minimizedLossShare*f.Loss
+		stillBreaksRule := f.Loss >= ruleViolationLoss && reduced.Loss >= ruleViolationLoss
+		if nearlyAsBad || stillBreaksRule {
+			f = *reduced
 		} else {
 			i++
 		}
@@ -160,50 +183,66 @@
 	return f, nil
 }
 
-// drawTroubles replaces a scenario's troubles by two to five drawn ones that overlap.
+// drawTroubles returns the scenario with its troubles replaced by two to five drawn ones. All start within 15 s after
+// one moment, which is drawn between a tenth and four tenths of the run's length, so that most of them overlap in time.
 func drawTroubles(s *scenario.Scenario, seed uint64) *scenario.Scenario {
 	r := random.Stream(seed, "hunt", 0)
 	out := *s
 	out.Troubles = nil
 	kinds := scenario.TroubleKinds()
-	start := between(r, 0.1, 0.4) * s.Run.Length.D().Seconds()
+	startSeconds := uniform(r, 0.1, 0.4) * s.Run.Length.D().Seconds()
 	for range 2 + r.IntN(4) {
-		out.Troubles = append(out.Troubles, drawTrouble(r, kinds[r.IntN(len(kinds))], start))
+		out.Troubles = append(out.Troubles, drawTrouble(r, kinds[r.IntN(len(kinds))], startSeconds))
 	}
 	return &out
 }
 
-func drawTrouble(r *rand.Rand, kind string, start float64) scenario.Trouble {
+// drawTrouble draws a trouble of the given kind that starts up to 15 s after startSeconds and lasts 4 s to 20 s. What
+// Size and Extra mean depends on the kind; the command "eiderlab troubles" describes it.
+func drawTrouble(r *rand.Rand, kind string, startSeconds float64) scenario.Trouble {
 	seconds := func(x float64) scenario.Duration {
 		return scenario.Duration(time.Duration(x*1000) * time.Millisecond)
 	}
-	t := scenario.Trouble{Kind: kind, At: seconds(start + between(r, 0, 15)), For: seconds(between(r, 4, 20)),
-		Part: round(between(r, 0.05, 0.6)), Busy: r.Float64() < 0.4, By: "destination"}
+	t := scenario.Trouble{
+		Kind: kind,
+		At:   seconds(startSeconds + uniform(r, 0, 15)),
+		For:  seconds(uniform(r, 4, 20)),
+		Part: roundToHundredth(uniform(r, 0.05, 0.6)),
+		Busy: r.Float64() < 0.4,
+		By:   "destination",
+	}
 	switch kind {
 	case "errors", "lost_answers":
-		t.Size = round(between(r, 0.2, 1))
+		t.Size = roundToHundredth(uniform(r, 0.2, 1))
 	case "slow":
-		t.Size = round(between(r, 2, 15))
+		t.Size = roundToHundredth(uniform(r, 2, 15))
 	case "limit_cut":
-		t.Size = round(between(r, 0.2, 0.8))
+		t.Size = roundToHundredth(uniform(r, 0.2, 0.8))
 	case "surge":
-		t.Size = round(between(r, 1.3, 2.5))
+		t.Size = roundToHundredth(uniform(r, 1.3, 2.5))
 	case "hot":
-		t.Size, t.Part = round(between(r, 0.05, 0.3)), 0.05
+		t.Size = roundToHundredth(uniform(r, 0.05, 0.3))
+		t.Part = 0.05
 	case "clump":
-		t.Size = float64(int(between(r, 10, 150)))
+		t.Size = float64(int(uniform(r, 10, 150)))
 	case "pauses":
-		t.Size, t.Extra = round(between(r, 1, 4)), seconds(between(r, 0.1, 0.8))
+		t.Size = roundToHundredth(uniform(r, 1, 4))
+		t.Extra = seconds(uniform(r, 0.1, 0.8))
 	case "restart":
-		t.Size, t.Extra, t.Part = float64(r.IntN(2)), seconds(between(r, 0.3, 2)), round(between(r, 0.3, 1))
+		t.Size = float64(r.IntN(2))
+		t.Extra = seconds(uniform(r, 0.3, 2))
+		t.Part = roundToHundredth(uniform(r, 0.3, 1))
 	case "drain":
-		t.Extra, t.By = seconds(between(r, 2, 6)), "endpoint"
+		t.Extra = seconds(uniform(r, 2, 6))
+		t.By = "endpoint"
 	case "registry_lag":
-		t.Extra = seconds(between(r, 1, 8))
+		t.Extra = seconds(uniform(r, 1, 8))
 	}
 	return t
 }
 
-func between(r *rand.Rand, low, high float64) float64 { return low + (high-low)*r.Float64() }
+// uniform draws a value between low and high.
+func uniform(r *rand.Rand, low, high float64) float64 { return low + (high-low)*r.Float64() }
 
-func round(x float64) float64 { return float64(int(x*100+0.5)) / 100 }
+// roundToHundredth rounds a positive value to two decimal places.
+func roundToHundredth(x float64) float64 { return float64(int(x*100+0.5)) / 100 }
--- a/lab/experiment/plan.go
+++ b/lab/experiment/plan.go
@@ -1,5 +1,8 @@
-// Package experiment owns experiments: a plan of runs (a grid of parameters, policies and seeds), playing it over all cores,
-// and the folder that its results are kept in. It must never let the order in which runs finish show in what is kept.
+// Package experiment plays a plan of simulated runs (a grid of parameters, policies and seeds) on all cores and owns
+// the result folder in which the outcomes are stored. The stored results must never depend on the order in which runs
+// finish.
+//
+// This file owns the plan and the description of the program that plays it.
 package experiment
 
 import (
@@ -18,13 +21,17 @@
 	"eiderhaven/lab/world"
 )
 
-// Axis is one parameter of a grid: a scenario key and its values, as Scenario.Set takes them.
+// oraclePolicy is the policy that sees the true state of the receivers and serves as the upper bound in comparisons.
+const oraclePolicy = "oracle"
+
+// Axis is one parameter of a grid: a scenario key and its values in the syntax of Scenario.Set.
 type Axis struct {
 	Key    string   `json:"key"`
 	Values []string `json:"values"`
 }
 
-// ParseAxis reads "key=v1,v2,v3". Values that hold commas stand in brackets: "kind.x.endpoints=[1, 2];[2, 4]".
+// ParseAxis parses "key=v1,v2,v3". If the list contains a bracket or a semicolon, values are separated by semicolons
+// instead, so that they may contain commas: "kind.x.endpoints=[1, 2];[2, 4]".
 func ParseAxis(text string) (Axis, error) {
 	key, list, ok := strings.Cut(text, "=")
 	if !ok || key == "" || list == "" {
@@ -41,7 +48,7 @@
 	return a, nil
 }
 
-// Plan is a set of runs: every combination of the axes' values, with every policy and every seed.
+// Plan is a set of runs: every combination of the axes' values, played with every policy and every seed.
 type Plan struct {
 	Scenario *scenario.Scenario `json:"-"`
 	Axes     []Axis             `json:"axes"`
@@ -49,41 +56,41 @@
 	Seeds    []uint64           `json:"seeds"`
 }
 
-// Point is one run of a plan.
+// Point identifies one run of a plan: a combination of axis values, a policy and a seed.
 type Point struct {
 	Index      int      `json:"index"`
-	AxisValues []string `json:"set"` // the value of each axis
+	AxisValues []string `json:"set"` // one value for each axis of the plan, in its order
 	Policy     string   `json:"policy"`
 	Seed       uint64   `json:"seed"`
 }
 
-// Points lists the runs in the plan's order: axes as given, the first slowest, then policies, then seeds.
+// Points returns all runs in the plan's order: the first axis varies slowest, then further axes, policies and seeds.
 func (p *Plan) Points() []Point {
-	cells := [][]string{{}}
+	combinations := [][]string{{}}
 	for _, a := range p.Axes {
-		var next [][]string
-		for _, c := range cells {
+		var extended [][]string
+		for _, combination := range combinations {
 			for _, v := range a.Values {
-				next = append(next, append(append([]string{}, c...), v))
+				extended = append(extended, append(append([]string{}, combination...), v))
 			}
 		}
-		cells = next
+		combinations = extended
 	}
 	var points []Point
-	for _, c := range cells {
+	for _, combination := range combinations {
 		for _, policy := range p.Policies {
 			for _, seed := range p.Seeds {
-				points = append(points, Point{Index: len(points), AxisValues: c, Policy: policy, Seed: seed})
+				points = append(points, Point{Index: len(points), AxisValues: combination, Policy: policy, Seed: seed})
 			}
 		}
 	}
 	return points
 }
 
-// At returns the scenario of a point.
-func (p *Plan) ScenarioFor(set []string) (*scenario.Scenario, error) {
+// ScenarioFor returns the plan's scenario with the given value set for each axis.
+func (p *Plan) ScenarioFor(axisValues []string) (*scenario.Scenario, error) {
 	s := p.Scenario
-	for i, v := range set {
+	for i, v := range axisValues {
 		var err error
 		if s, err = s.Set(p.Axes[i].Key, v); err != nil {
 			return nil, err
@@ -92,10 +99,10 @@
 	return s, nil
 }
 
-// Check names what is wrong with a plan before anything is played.
+// Validate returns an error if any run of the plan could not be played, so that a sweep fails before its first run.
 func (p *Plan) Validate() error {
 	if len(p.Seeds) == 0 || len(p.Policies) == 0 {
-		return fmt.Errorf("a plan needs a seed and a policy at least")
+		return fmt.Errorf("a plan needs at least one seed and one policy")
 	}
 	for _, name := range p.Policies {
 		if world.DescribePolicy(name) == "" {
@@ -116,7 +123,7 @@
 	return nil
 }
 
-// Seeds returns n seeds from a first one.
+// Seeds returns n consecutive seeds that start at first.
 func Seeds(first uint64, n int) []uint64 {
 	var out []uint64
 	for i := range n {
@@ -125,17 +132,25 @@
 	return out
 }
 
-// Build says which program plays: its version control revision where there is one, and the Go release.
+// programDigestLength is the number of hexadecimal digits kept of the executable's digest.
+const programDigestLength = 16
+
+// manifestFormat is the version of plan.json.
+const manifestFormat = 1
+
+// Build identifies the program that plays runs: its version control revision, if known, and its Go release.
 type Build struct {
 	Go       string `json:"go"`
 	Revision string `json:"revision"`
-	Changed  bool   `json:"changed,omitempty"` // the sources differed from the revision
-	Program  string `json:"program"`           // start of the SHA-256 of the program itself: two builds that differ at all differ here
+	Changed  bool   `json:"changed,omitempty"` // built from sources with uncommitted changes
+
+	// Program is the start of the executable's SHA-256. It differs between any two builds that differ at all.
+	Program string `json:"program"`
 }
 
 // ThisBuild describes the running program.
 func ThisBuild() Build {
-	b := Build{Go: runtime.Version(), Revision: "unknown", Program: digestOfProgram()}
+	b := Build{Go: runtime.Version(), Revision: "unknown", Program: programDigest()}
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return b
@@ -151,8 +166,9 @@
 	return b
 }
 
-// digestOfProgram reads the running program once; "unknown" where it cannot be read.
-var digestOfProgram = sync.OnceValue(func() string {
+// programDigest returns the start of the SHA-256 of the running executable, which it reads only once. It returns
+// "unknown" if the executable cannot be read.
+var programDigest = sync.OnceValue(func() string {
 	path, err := os.Executable()
 	if err != nil {
 		return "unknown"
@@ -166,24 +182,32 @@
 	if _, err := io.Copy(h, f); err != nil {
 		return "unknown"
 	}
-	return hex.EncodeToString(h.Sum(nil))[:16]
+	return hex.EncodeToString(h.Sum(nil))[:programDigestLength]
 })
 
-// manifest is what a folder says of how its rows were made.
+// manifest is the content of plan.json: the plan, the digest of its scenario, and the program that played it.
 type manifest struct {
 	Format   int    `json:"format"`
 	Scenario string `json:"scenario"` // name
-	Digest   string `json:"digest"`   // of scenario.toml
+	Digest   string `json:"digest"`   // SHA-256 of scenario.toml
 	Build    Build  `json:"build"`
 	Plan
 }
 
-func (p *Plan) manifest(text []byte) manifest {
-	sum := sha256.Sum256(text)
-	return manifest{Format: 1, Scenario: p.Scenario.Name, Digest: hex.EncodeToString(sum[:]), Build: ThisBuild(), Plan: *p}
+// manifest returns the content of plan.json for this plan, given the text of its scenario.toml.
+func (p *Plan) manifest(scenarioText []byte) manifest {
+	sum := sha256.Sum256(scenarioText)
+	return manifest{
+		Format:   manifestFormat,
+		Scenario: p.Scenario.Name,
+		Digest:   hex.EncodeToString(sum[:]),
+		Build:    ThisBuild(),
+		Plan:     *p,
+	}
 }
 
-func (m manifest) text() []byte {
-	out, _ := json.MarshalIndent(m, "", "  ") // plain values always encode
+// encode returns the manifest as indented JSON.
+func (m manifest) encode() []byte {
+	out, _ := json.MarshalIndent(m, "", "  ") // cannot fail: the manifest holds only plain values
 	return append(out, '\n')
 }
--- a/lab/experiment/play.go
+++ b/lab/experiment/play.go
@@ -1,4 +1,4 @@
-// This file owns playing a plan over all cores. It must never keep a run that was broken off.
+// This file owns the parallel execution of a plan. It must never store the result of a run that was interrupted.
 
 package experiment
 
@@ -12,58 +12,61 @@
 	"eiderhaven/lab/world"
 )
 
-// Play plays the runs that a folder lacks. done is told after each one. When ctx ends, runs that are under way are broken
-// off and dropped; the finished ones are kept, and Play returns the context's error.
-func Play(ctx context.Context, f *Folder, jobs int, done func(finished, all int)) error {
+// Play plays the runs that are missing from the folder, up to jobs of them at once, and calls done, if it is not nil,
+// after each. If jobs is not positive, it uses all cores. When ctx ends, runs in progress are interrupted and
+// discarded, finished ones stay in the folder, and Play returns the context's error.
+func Play(ctx context.Context, f *Folder, jobs int, done func(finished, total int)) error {
 	if jobs <= 0 {
 		jobs = runtime.GOMAXPROCS(0)
 	}
 	missing := f.Missing()
-	all := len(f.Plan.Points())
-	type finished struct {
+	total := len(f.Plan.Points())
+	type finishedRun struct {
 		point  Point
 		result *tally.Result
 	}
-	results := make(chan finished)
+	results := make(chan finishedRun)
 	g, ctx := errgroup.WithContext(ctx)
 	g.SetLimit(jobs + 1)
+
+	// The goroutine below starts the runs; this one writes their rows to the folder one at a time.
 	g.Go(func() error {
 		defer close(results)
-		inner, stopped := errgroup.WithContext(ctx)
-		inner.SetLimit(jobs)
+		runs, runsCtx := errgroup.WithContext(ctx)
+		runs.SetLimit(jobs)
 		for _, p := range missing {
-			if stopped.Err() != nil {
+			if runsCtx.Err() != nil {
 				break
 			}
-			inner.Go(func() error {
+			runs.Go(func() error {
 				s, err := f.Plan.ScenarioFor(p.AxisValues)
 				if err != nil {
 					return err
 				}
-				r, err := world.Run(s, world.Options{Seed: p.Seed, Policy: p.Policy, Workers: 1, Stop: stopped.Done()})
-				if err != nil || stopped.Err() != nil {
+				r, err := world.Run(s, world.Options{Seed: p.Seed, Policy: p.Policy, Workers: 1, Stop: runsCtx.Done()})
+				if err != nil || runsCtx.Err() != nil {
 					return err
 				}
-				results <- finished{p, r}
+				results <- finishedRun{p, r}
 				return nil
 			})
 		}
-		if err := inner.Wait(); err != nil {
+		if err := runs.Wait(); err != nil {
 			return err
 		}
 		return ctx.Err()
 	})
-	var failed error
-	for r := range results {
-		if failed == nil {
-			failed = f.Add(r.point, r.result)
+	var addErr error
+	for run := range results {
+		if addErr == nil {
+			addErr = f.Add(run.point, run.result)
 		}
 		if done != nil {
-			done(all-len(f.Missing()), all)
+			done(total-len(f.Missing()), total)
 		}
 	}
 	if err := g.Wait(); err != nil {
 		return err
 	}
-	return failed
+	return addErr
 }
--- a/lab/experiment/report.go
+++ b/lab/experiment/report.go
@@ -1,5 +1,5 @@
-// This file owns which tables and charts are made of an experiment or of a run. Every chart shows figures that rows or
-// series hold; a bar or point without an interval rests on one run.
+// This file owns the tables and charts of an experiment and of single runs. A chart must never show values that the
+// stored rows or time series don't contain. A bar or point without an interval is based on one run.
 
 package experiment
 
@@ -17,101 +17,179 @@
 	"eiderhaven/lab/tally"
 )
 
-// figures are those of the summary table and of the charts over an axis.
-var figures = []struct {
-	name, axis string
-	of         func(*tally.Result) float64
-	zero, log  bool
+const (
+	// minLogAxisRatio is the ratio of the largest to the smallest value from which an axis is logarithmic.
+	minLogAxisRatio = 30
+
+	// maxDestinationCharts is the number of destinations that get a chart of their own.
+	maxDestinationCharts = 3
+)
+
+// reportMetrics are the metrics of the summary table and of the charts over an axis.
+var reportMetrics = []struct {
+	name      string // column of the summary table, and part of chart titles
+	yLabel    string
+	value     func(*tally.Result) float64
+	yFromZero bool
+	logY      bool
 }{
-	{"G", "G, share of the worth asked for", func(r *tally.Result) float64 { return r.G }, true, false},
-	{"served", "share of first tries served", func(r *tally.Result) float64 { return per(r.Served, r.Submitted) }, true, false},
-	{"served a second", "messages served a second", func(r *tally.Result) float64 { return float64(r.Served) / max(r.ModelSeconds, 1e-9) }, true, false},
-	{"calls refused", "calls turned away for each first try", func(r *tally.Result) float64 { return per(r.RefusedByLimit+r.RefusedOtherwise, r.Submitted) }, true, false},
-	{"calls", "calls for each first try", func(r *tally.Result) float64 { return per(r.Calls, r.Submitted) }, true, false},
-	{"p50, ms", "median time to delivery, ms", func(r *tally.Result) float64 { return r.P50 }, false, true},
-	{"p99, ms", "99th percentile of the time to delivery, ms", func(r *tally.Result) float64 { return r.P99 }, false, true},
-	{"recovery, s", "recovery after the last outage, s", recoveryOf, true, false},
-	{"rules broken", "breaks of rules", func(r *tally.Result) float64 { return float64(r.ViolationCount) }, true, false},
+	{
+		name:   "G",
+		yLabel: "G, share of the worth asked for",
+		value: func(r *tally.Result) float64 {
+			return r.G
+		},
+		yFromZero: true,
+	},
+	{
+		name:   "served",
+		yLabel: "share of first tries served",
+		value: func(r *tally.Result) float64 {
+			return ratio(r.Served, r.Submitted)
+		},
+		yFromZero: true,
+	},
+	{
+		name:   "served a second",
+		yLabel: "messages served a second",
+		value: func(r *tally.Result) float64 {
+			return float64(r.Served) / max(r.ModelSeconds, 1e-9)
+		},
+		yFromZero: true,
+	},
+	{
+		name:   "calls refused",
+		yLabel: "calls turned away for each first try",
+		value: func(r *tally.Result) float64 {
+			return ratio(r.RefusedByLimit+r.RefusedOtherwise, r.Submitted)
+		},
+		yFromZero: true,
+	},
+	{
+		name:   "calls",
+		yLabel: "calls for each first try",
+		value: func(r *tally.Result) float64 {
+			return ratio(r.Calls, r.Submitted)
+		},
+		yFromZero: true,
+	},
+	{
+		name:   "p50, ms",
+		yLabel: "median time to delivery, ms",
+		value: func(r *tally.Result) float64 {
+			return r.P50
+		},
+		logY: true,
+	},
+	{
+		name:   "p99, ms",
+		yLabel: "99th percentile of the time to delivery, ms",
+		value: func(r *tally.Result) float64 {
+			return r.P99
+		},
+		logY: true,
+	},
+	{
+		name:      "recovery, s",
+		yLabel:    "recovery after the last outage, s",
+		value:     recoverySeconds,
+		yFromZero: true,
+	},
+	{
+		name:   "rules broken",
+		yLabel: "breaks of rules",
+		value: func(r *tally.Result) float64 {
+			return float64(r.ViolationCount)
+		},
+		yFromZero: true,
+	},
 }
 
-func per(a, b int) float64 {
+// ratio returns a / b, or 0 if b is 0.
+func ratio(a, b int) float64 {
 	if b == 0 {
 		return 0
 	}
 	return float64(a) / float64(b)
 }
 
-// Summary is the table of all cells: means and half widths of 95 % intervals over seeds.
+// Summary returns a table of all cells: means and half widths of 95 % confidence intervals over seeds.
 func (f *Folder) Summary() chart.Table {
 	t := chart.Table{Title: "Results", Head: nil}
 	for _, a := range f.Plan.Axes {
 		t.Head = append(t.Head, a.Key)
 	}
 	t.Head = append(t.Head, "policy", "runs")
-	for _, x := range figures {
-		t.Head = append(t.Head, x.name)
+	for _, metric := range reportMetrics {
+		t.Head = append(t.Head, metric.name)
 	}
-	bound := f.bound()
-	if bound != nil {
+	oracleG := f.oracleScores()
+	if oracleG != nil {
 		t.Head = append(t.Head, "G / oracle")
 	}
 	for _, c := range f.Cells() {
 		row := append(append([]string{}, c.AxisValues...), c.Policy, strconv.Itoa(len(c.Rows)))
-		for _, x := range figures {
-			row = append(row, c.Estimate(x.of).String())
+		for _, metric := range reportMetrics {
+			row = append(row, c.Estimate(metric.value).String())
 		}
-		if bound != nil {
-			row = append(row, f.share(c, bound).String())
+		if oracleG != nil {
+			row = append(row, f.oracleShare(c, oracleG).String())
 		}
 		t.Rows = append(t.Rows, row)
 	}
 	return t
 }
 
-// bound maps parameters and seed to the oracle's G, nil where the plan has no oracle.
-func (f *Folder) bound() map[string]float64 {
-	var of map[string]float64
+// oracleScores maps axis values and seed (see pairKey) to the G that the oracle policy reached, which serves as the
+// upper bound. It returns nil if no run of the oracle is finished.
+func (f *Folder) oracleScores() map[string]float64 {
+	var scores map[string]float64
 	for _, r := range f.Rows() {
-		if r.Point.Policy == "oracle" {
-			if of == nil {
-				of = map[string]float64{}
+		if r.Point.Policy == oraclePolicy {
+			if scores == nil {
+				scores = map[string]float64{}
 			}
-			of[pairKey(r)] = r.Result.G
+			scores[pairKey(r)] = r.Result.G
 		}
 	}
-	return of
+	return scores
 }
 
+// pairKey identifies the runs of different policies that share axis values and seed.
 func pairKey(r Row) string {
 	return strings.Join(r.AxisValues, "\x00") + "\x00" + strconv.FormatUint(r.Point.Seed, 10)
 }
 
-// share estimates the part of the oracle's G that a cell reaches, run by run.
-func (f *Folder) share(c Cell, bound map[string]float64) Estimate {
+// oracleShare estimates the share of the oracle's G that the runs of a cell reach, each compared with the oracle's run
+// of the same axis values and seed.
+func (f *Folder) oracleShare(cell Cell, oracleG map[string]float64) Estimate {
 	var xs []float64
-	for _, r := range c.Rows {
-		if b, ok := bound[pairKey(r)]; ok && b > 0 {
-			xs = append(xs, r.Result.G/b)
+	for _, r := range cell.Rows {
+		if best, ok := oracleG[pairKey(r)]; ok && best > 0 {
+			xs = append(xs, r.Result.G/best)
 		}
 	}
 	return EstimateMean(xs)
 }
 
-// Charts are the charts of a grid: each figure over the first axis, a line for each policy and value of the other axes, or
-// bars by policy where there is no axis.
+// Charts returns a chart of each metric over the plan's first axis, with a line for each policy and each combination of
+// values of the other axes. A plan without axes gets bar charts with a bar for each policy.
 func (f *Folder) Charts() []*chart.Chart {
 	cells := f.Cells()
 	if len(cells) == 0 {
 		return nil
 	}
 	var charts []*chart.Chart
-	for _, x := range figures {
+	for _, metric := range reportMetrics {
 		if len(f.Plan.Axes) == 0 {
-			charts = append(charts, f.bars(cells, x.name, x.axis, x.of))
+			charts = append(charts, f.barChart(cells, metric.name, metric.yLabel, metric.value))
 			continue
 		}
-		c := f.overAxis(cells, x.of)
-		c.Title, c.YLabel, c.YFromZero, c.LogY = f.Plan.Scenario.Name+": "+x.name, x.axis, x.zero, x.log
+		c := f.chartOverAxis(cells, metric.value)
+		c.Title = f.Plan.Scenario.Name + ": " + metric.name
+		c.YLabel = metric.yLabel
+		c.YFromZero = metric.yFromZero
+		c.LogY = metric.logY
 		if !c.Empty() {
 			charts = append(charts, c)
 		}
@@ -119,50 +197,57 @@
 	return charts
 }
 
-func (f *Folder) bars(cells []Cell, name, axis string, of func(*tally.Result) float64) *chart.Chart {
-	c := &chart.Chart{Title: f.Plan.Scenario.Name + ": " + name + " by policy", YLabel: axis, YFromZero: true}
-	var l chart.Line
+// barChart returns a chart of one metric with a bar for each cell, labelled by policy.
+func (f *Folder) barChart(cells []Cell, name, yLabel string, metric func(*tally.Result) float64) *chart.Chart {
+	c := &chart.Chart{Title: f.Plan.Scenario.Name + ": " + name + " by policy", YLabel: yLabel, YFromZero: true}
+	var line chart.Line
 	for i, cell := range cells {
-		e := cell.Estimate(of)
 		c.BarLabels = append(c.BarLabels, cell.Policy)
-		l.X, l.Y = append(l.X, float64(i)), append(l.Y, e.Mean)
-		l.Low, l.High = append(l.Low, e.Mean-e.HalfWidth), append(l.High, e.Mean+e.HalfWidth)
+		addEstimate(&line, float64(i), cell.Estimate(metric))
 	}
-	c.Lines = []chart.Line{l}
+	c.Lines = []chart.Line{line}
 	return c
 }
 
-// overAxis draws a figure over the first axis. Values that are numbers or durations stand at their place, others in order.
-func (f *Folder) overAxis(cells []Cell, of func(*tally.Result) float64) *chart.Chart {
+// chartOverAxis returns a chart of one metric over the first axis. Values that are numbers or durations are placed to
+// scale, others at their position in the list.
+func (f *Folder) chartOverAxis(cells []Cell, metric func(*tally.Result) float64) *chart.Chart {
 	axis := f.Plan.Axes[0]
 	c := &chart.Chart{XLabel: axis.Key}
-	place := map[string]float64{}
-	low, high, numbers := math.Inf(1), math.Inf(-1), true
+	positions := map[string]float64{}
+	low, high, allNumbers := math.Inf(1), math.Inf(-1), true
 	for i, v := range axis.Values {
-		x, ok := number(v)
+		x, ok := parseNumber(v)
 		if !ok {
-			numbers, x = false, float64(i)
+			allNumbers, x = false, float64(i)
 		}
-		place[v] = x
+		positions[v] = x
 		low, high = min(low, x), max(high, x)
 	}
-	c.LogX = numbers && low > 0 && high/low >= 30
-	index := map[string]int{}
+	c.LogX = allNumbers && low > 0 && high/low >= minLogAxisRatio
+	lineIndex := map[string]int{}
 	for _, cell := range cells {
 		name := f.lineName(cell)
-		i, known := index[name]
+		i, known := lineIndex[name]
 		if !known {
 			i = len(c.Lines)
-			index[name] = i
-			c.Lines = append(c.Lines, chart.Line{Name: name, Dashed: cell.Policy == "oracle"})
+			lineIndex[name] = i
+			c.Lines = append(c.Lines, chart.Line{Name: name, Dashed: cell.Policy == oraclePolicy})
 		}
-		l, e := &c.Lines[i], cell.Estimate(of)
-		l.X, l.Y = append(l.X, place[cell.AxisValues[0]]), append(l.Y, e.Mean)
-		l.Low, l.High = append(l.Low, e.Mean-e.HalfWidth), append(l.High, e.Mean+e.HalfWidth)
+		addEstimate(&c.Lines[i], positions[cell.AxisValues[0]], cell.Estimate(metric))
 	}
 	return c
 }
 
+// addEstimate adds a point with its confidence interval to a line.
+func addEstimate(line *chart.Line, x float64, estimate Estimate) {
+	line.X = append(line.X, x)
+	line.Y = append(line.Y, estimate.Mean)
+	line.Low = append(line.Low, estimate.Mean-estimate.HalfWidth)
+	line.High = append(line.High, estimate.Mean+estimate.HalfWidth)
+}
+
+// lineName returns the legend of a cell's line: its policy and its values of all axes but the first.
 func (f *Folder) lineName(c Cell) string {
 	parts := []string{c.Policy}
 	for i, v := range c.AxisValues[1:] {
@@ -172,7 +257,8 @@
 	return strings.Join(parts, ", ")
 }
 
-func number(text string) (float64, bool) {
+// parseNumber parses a number or a duration, which becomes seconds.
+func parseNumber(text string) (float64, bool) {
 	if x, err := strconv.ParseFloat(text, 64); err == nil {
 		return x, true
 	}
@@ -182,27 +268,37 @@
 	return 0, false
 }
 
-// Report writes summary.md, charts and report.html into the folder.
+// Report writes summary.md, the charts and report.html to the folder.
 func (f *Folder) Report() error {
 	t := f.Summary()
 	charts := f.Charts()
-	page := &chart.Page{Title: f.Plan.Scenario.Name, About: f.about(), Tables: []chart.Table{t}, Charts: charts}
-	return write(f.Path, page, charts, t)
+	page := &chart.Page{
+		Title:  f.Plan.Scenario.Name,
+		About:  f.description(),
+		Tables: []chart.Table{t},
+		Charts: charts,
+	}
+	return writeReport(f.Path, page, charts, t)
 }
 
-func (f *Folder) about() string {
-	return fmt.Sprintf("%s. Simulated, by the project's own model: %d runs, seeds %v, 95 %% confidence intervals over seeds. Program %s, %s.",
-		strings.TrimSuffix(f.Plan.Scenario.About, "."), len(f.Rows()), seedText(f.Plan.Seeds), ThisBuild().Program, ThisBuild().Go)
+// description returns the introduction of the report: the scenario's purpose, the runs, and the running program.
+func (f *Folder) description() string {
+	build := ThisBuild()
+	return fmt.Sprintf("%s. Simulated, by the project's own model: %d runs, seeds %v, 95 %% confidence intervals over seeds. "+
+		"Program %s, %s.", strings.TrimSuffix(f.Plan.Scenario.About, "."), len(f.Rows()), formatSeeds(f.Plan.Seeds),
+		build.Program, build.Go)
 }
 
-func seedText(seeds []uint64) string {
+// formatSeeds formats consecutive seeds as a range and others as a list.
+func formatSeeds(seeds []uint64) string {
 	if len(seeds) > 1 && seeds[len(seeds)-1]-seeds[0] == uint64(len(seeds)-1) {
 		return fmt.Sprintf("%d to %d", seeds[0], seeds[len(seeds)-1])
 	}
 	return fmt.Sprint(seeds)
 }
 
-func write(path string, page *chart.Page, charts []*chart.Chart, t chart.Table) error {
+// writeReport writes report.html, summary.md and the charts to the folder at path.
+func writeReport(path string, page *chart.Page, charts []*chart.Chart, table chart.Table) error {
 	html, err := page.HTML()
 	if err != nil {
 		return err
@@ -210,7 +306,8 @@
 	if err := os.WriteFile(filepath.Join(path, "report.html"), html, 0o644); err != nil {
 		return err
 	}
-	if err := os.WriteFile(filepath.Join(path, "summary.md"), []byte(page.About+"\n\n"+t.Markdown()), 0o644); err != nil {
+	summary := page.About + "\n\n" + table.Markdown()
+	if err := os.WriteFile(filepath.Join(path, "summary.md"), []byte(summary), 0o644); err != nil {
 		return err
 	}
 	for _, c := range charts {
@@ -221,123 +318,173 @@
 	return nil
 }
 
-// RunTable is the table of single runs of one scenario.
+// RunTable returns a table with a column for each of several runs of one scenario and a row for each metric.
 func RunTable(results []*tally.Result) chart.Table {
 	t := chart.Table{Title: "Results", Head: []string{"figure"}}
 	for _, r := range results {
 		t.Head = append(t.Head, r.Policy)
 	}
-	add := func(name string, of func(*tally.Result) string) {
+	addRow := func(name string, format func(*tally.Result) string) {
 		row := []string{name}
 		for _, r := range results {
-			row = append(row, of(r))
+			row = append(row, format(r))
 		}
 		t.Rows = append(t.Rows, row)
 	}
 	for _, c := range Columns {
-		add(c.Name, func(r *tally.Result) string { return short(c.Of(r)) })
+		addRow(c.Name, func(r *tally.Result) string { return formatMetric(c.Value(r)) })
 	}
 	return t
 }
 
-// RunCharts are the charts over time of single runs of one scenario.
+// RunCharts returns charts over time that compare several runs of one scenario. bands are the shaded spans of time.
 func RunCharts(results []*tally.Result, bands []chart.Band) []*chart.Chart {
 	if len(results) == 0 || len(results[0].Series) == 0 {
 		return nil
 	}
 	name := results[0].Scenario
-	over := func(title, y string, zero, logY bool, of func(*tally.Window) float64, per bool) *chart.Chart {
-		c := &chart.Chart{Title: name + ": " + title, XLabel: "model time, s", YLabel: y, YFromZero: zero, LogY: logY, Bands: bands}
+
+	newChart := func(title, yLabel string) *chart.Chart {
+		return &chart.Chart{Title: name + ": " + title, XLabel: "model time, s", YLabel: yLabel, Bands: bands}
+	}
+	addLines := func(c *chart.Chart, perSecond bool, value func(*tally.Window) float64) {
 		for _, r := range results {
-			c.Lines = append(c.Lines, binned(r.Policy, len(r.Series), r.WindowSeconds, per, func(i int) float64 { return of(&r.Series[i]) }))
+			windowValue := func(i int) float64 { return value(&r.Series[i]) }
+			c.Lines = append(c.Lines, binnedLine(r.Policy, len(r.Series), r.WindowSeconds, perSecond, windowValue))
 		}
+	}
+	// rateOverTime returns a chart of how many events a window counts, as a rate.
+	rateOverTime := func(title, yLabel string, count func(*tally.Window) int) *chart.Chart {
+		c := newChart(title, yLabel)
+		c.YFromZero = true
+		addLines(c, true, func(w *tally.Window) float64 { return float64(count(w)) })
+		return c
+	}
+	// timeOverTime returns a chart of a time in milliseconds on a logarithmic axis.
+	timeOverTime := func(title string, milliseconds func(*tally.Window) float64) *chart.Chart {
+		c := newChart(title, "ms")
+		c.LogY = true
+		addLines(c, false, milliseconds)
 		return c
 	}
-	flow := over("throughput", "messages served a second", true, false, func(w *tally.Window) float64 { return float64(w.Served) }, true)
+
+	throughput := rateOverTime("throughput", "messages served a second", func(w *tally.Window) int { return w.Served })
 	first := results[0]
-	asked := binned("handed in", len(first.Series), first.WindowSeconds, true, func(i int) float64 { return float64(first.Series[i].Submitted) })
-	asked.Dashed = true
-	flow.Lines = append(flow.Lines, asked)
-	charts := []*chart.Chart{flow,
-		over("calls turned away", "calls turned away a second", true, false, func(w *tally.Window) float64 { return float64(w.RefusedByLimit + w.RefusedOtherwise) }, true),
-		over("messages refused or failed", "messages a second", true, false, func(w *tally.Window) float64 { return float64(w.Refused + w.Failed + w.TurnedAway) }, true),
-		over("median time to delivery", "ms", false, true, func(w *tally.Window) float64 { return w.P50 }, false),
-		over("99th percentile of the time to delivery", "ms", false, true, func(w *tally.Window) float64 { return w.P99 }, false),
-	}
-	charts = append(charts, over("messages held", "messages held by all senders", true, false, func(w *tally.Window) float64 { return w.Held }, false))
-	return append(charts, laneCharts(results[0], bands)...)
+	submitted := binnedLine("handed in", len(first.Series), first.WindowSeconds, true, func(i int) float64 {
+		return float64(first.Series[i].Submitted)
+	})
+	submitted.Dashed = true
+	throughput.Lines = append(throughput.Lines, submitted)
+
+	held := newChart("messages held", "messages held by all senders")
+	held.YFromZero = true
+	addLines(held, false, func(w *tally.Window) float64 { return w.Held })
+
+	charts := []*chart.Chart{
+		throughput,
+		rateOverTime("calls turned away", "calls turned away a second", func(w *tally.Window) int {
+			return w.RefusedByLimit + w.RefusedOtherwise
+		}),
+		rateOverTime("messages refused or failed", "messages a second", func(w *tally.Window) int {
+			return w.Refused + w.Failed + w.TurnedAway
+		}),
+		timeOverTime("median time to delivery", func(w *tally.Window) float64 { return w.P50 }),
+		timeOverTime("99th percentile of the time to delivery", func(w *tally.Window) float64 { return w.P99 }),
+		held,
+	}
+	return append(charts, destinationCharts(first, bands)...)
 }
 
-// points is about how many points a line over time has; longer series are averaged over neighbours.
-const points = 60
+// maxLinePoints is the number of points that a line over time has at most. Neighbouring values of longer series are
+// averaged.
+const maxLinePoints = 60
 
-// binned makes a line of n steps. With per, a value is a count and becomes a rate; without, it is a level, and steps that
-// have none (0) are left out of the mean.
-func binned(name string, n int, step float64, per bool, of func(int) float64) chart.Line {
-	l := chart.Line{Name: name}
-	size := max(1, (n+points-1)/points)
-	for from := 0; from < n; from += size {
+// binnedLine returns a line over n windows of stepSeconds each. With perSecond, values are counts and are converted to
+// rates. Without, they are levels, and windows whose value is 0, which means none, are left out of the average.
+func binnedLine(name string, n int, stepSeconds float64, perSecond bool, value func(int) float64) chart.Line {
+	line := chart.Line{Name: name}
+	binSize := max(1, (n+maxLinePoints-1)/maxLinePoints)
+	for from := 0; from < n; from += binSize {
 		sum, count := 0.0, 0
-		for i := from; i < min(from+size, n); i++ {
-			v := of(i)
+		for i := from; i < min(from+binSize, n); i++ {
+			v := value(i)
 			sum += v
-			if per || v != 0 {
+			if perSecond || v != 0 {
 				count++
 			}
 		}
 		mean := sum / float64(max(count, 1))
-		if per {
-			mean /= step
+		if perSecond {
+			mean /= stepSeconds
 		}
-		l.X, l.Y = append(l.X, float64(from)*step), append(l.Y, mean)
+		line.X = append(line.X, float64(from)*stepSeconds)
+		line.Y = append(line.Y, mean)
 	}
-	return l
+	return line
 }
 
-// laneCharts show what the busiest destinations were sent, beside what they take: the paces as seen from outside.
-func laneCharts(r *tally.Result, bands []chart.Band) []*chart.Chart {
+// destinationCharts returns, for the busiest destinations, charts of the calls sent and refused over time beside the
+// destination's capacity. They show the effect of the senders' rate controllers.
+func destinationCharts(r *tally.Result, bands []chart.Band) []*chart.Chart {
 	var charts []*chart.Chart
-	for _, lane := range r.BusiestDestinations[:min(3, len(r.BusiestDestinations))] {
-		c := &chart.Chart{Title: fmt.Sprintf("%s: calls to destination %d by %s", r.Scenario, lane.Dest, r.Policy),
-			XLabel: "model time, s", YLabel: "calls a second", YFromZero: true, Bands: bands}
-		n := len(lane.Calls)
-		best := binned("taken at its best", n, r.WindowSeconds, false, func(int) float64 { return lane.Capacity })
-		best.Dashed = true
-		c.Lines = []chart.Line{binned("sent", n, r.WindowSeconds, true, func(i int) float64 { return float64(lane.Calls[i]) }),
-			binned("turned away", n, r.WindowSeconds, true, func(i int) float64 { return float64(lane.Refusals[i]) }), best}
-		charts = append(charts, c)
+	for _, destination := range r.BusiestDestinations[:min(maxDestinationCharts, len(r.BusiestDestinations))] {
+		n := len(destination.Calls)
+		sent := binnedLine("sent", n, r.WindowSeconds, true, func(i int) float64 {
+			return float64(destination.Calls[i])
+		})
+		refused := binnedLine("turned away", n, r.WindowSeconds, true, func(i int) float64 {
+			return float64(destination.Refusals[i])
+		})
+		capacity := binnedLine("taken at its best", n, r.WindowSeconds, false, func(int) float64 {
+			return destination.Capacity
+		})
+		capacity.Dashed = true
+		charts = append(charts, &chart.Chart{
+			Title:     fmt.Sprintf("%s: calls to destination %d by %s", r.Scenario, destination.Dest, r.Policy),
+			XLabel:    "model time, s",
+			YLabel:    "calls a second",
+			YFromZero: true,
+			Bands:     bands,
+			Lines:     []chart.Line{sent, refused, capacity},
+		})
 	}
 	return charts
 }
 
-// SaveRuns writes the folder of single runs: scenario, results whole, table, charts and page.
-func SaveRuns(path string, text []byte, results []*tally.Result, bands []chart.Band) error {
+// SaveRuns writes a folder of single runs: the scenario, the complete results, a summary table, charts and the page
+// that shows them all.
+func SaveRuns(path string, scenarioText []byte, results []*tally.Result, bands []chart.Band) error {
 	if err := os.MkdirAll(path, 0o755); err != nil {
 		return err
 	}
-	if err := os.WriteFile(filepath.Join(path, scenarioFile), text, 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(path, scenarioFile), scenarioText, 0o644); err != nil {
 		return err
 	}
 	for _, r := range results {
-		out, err := json.MarshalIndent(struct {
+		encoded, err := json.MarshalIndent(struct {
 			Build Build `json:"build"`
 			*tally.Result
 		}{ThisBuild(), r}, "", " ")
 		if err != nil {
 			return err
 		}
-		if err := os.WriteFile(filepath.Join(path, fmt.Sprintf("%s-%d.json", r.Policy, r.Seed)), append(out, '\n'), 0o644); err != nil {
+		name := fmt.Sprintf("%s-%d.json", r.Policy, r.Seed)
+		if err := os.WriteFile(filepath.Join(path, name), append(encoded, '\n'), 0o644); err != nil {
 			return err
 		}
 	}
 	t := RunTable(results)
-	page := &chart.Page{Title: results[0].Scenario, Tables: []chart.Table{t}, Charts: RunCharts(results, bands),
-		About: fmt.Sprintf("Simulated, by the project's own model; seed %d. Shaded: something goes wrong.", results[0].Seed),
-		Notes: []string{strings.Join(results[0].Log, "\n")}}
-	return write(path, page, page.Charts, t)
+	page := &chart.Page{
+		Title:  results[0].Scenario,
+		About:  fmt.Sprintf("Simulated, by the project's own model; seed %d. Shaded: something goes wrong.", results[0].Seed),
+		Tables: []chart.Table{t},
+		Charts: RunCharts(results, bands),
+		Notes:  []string{strings.Join(results[0].Log, "\n")},
+	}
+	return writeReport(path, page, page.Charts, t)
 }
 
-// ReadRuns reads the results of a folder that SaveRuns wrote.
+// ReadRuns reads the results from a folder that SaveRuns wrote.
 func ReadRuns(path string) ([]*tally.Result, error) {
 	files, err := filepath.Glob(filepath.Join(path, "*-*.json"))
 	if err != nil {
@@ -356,7 +503,7 @@
 		results = append(results, r)
 	}
 	if len(results) == 0 {
-		return nil, fmt.Errorf("%s holds no results of runs", path)
+		return nil, fmt.Errorf("%s contains no results of runs", path)
 	}
 	return results, nil
 }
--- a/lab/experiment/stats.go
+++ b/lab/experiment/stats.go
@@ -1,5 +1,5 @@
-// This file owns what is said of rows: means with their confidence intervals, and differences of pairs. It must never hide
-// how many runs a figure rests on.
+// This file owns the statistics over rows: means with their confidence intervals, and paired differences. It must never
+// hide how many runs an estimate is based on.
 
 package experiment
 
@@ -14,15 +14,19 @@
 	"eiderhaven/lab/tally"
 )
 
-// Estimate is a mean with the half width of its 95 % confidence interval (Student's t), over N runs.
+// upperQuantile95 is the quantile at the upper end of a two-sided 95 % interval.
+const upperQuantile95 = 0.975
+
+// Estimate is the mean over N runs with the half width of its 95 % confidence interval (Student's t).
 type Estimate struct {
 	Mean, HalfWidth float64
 	N               int
 }
 
-// Of estimates the mean of xs. With fewer than two the half width is NaN: one run says nothing of spread.
+// EstimateMean estimates the mean of the values in xs that are not NaN. With fewer than two values the half width is
+// NaN, as a single run gives no measure of spread.
 func EstimateMean(xs []float64) Estimate {
-	xs = slices.DeleteFunc(slices.Clone(xs), math.IsNaN) // a run that has no such figure
+	xs = slices.DeleteFunc(slices.Clone(xs), math.IsNaN) // NaN: the run has no value for the metric
 	if len(xs) == 0 {
 		return Estimate{Mean: math.NaN(), HalfWidth: math.NaN()}
 	}
@@ -30,21 +34,23 @@
 	if len(xs) < 2 {
 		return Estimate{Mean: xs[0], HalfWidth: math.NaN(), N: 1}
 	}
-	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(xs) - 1)}.Quantile(0.975)
+	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(xs) - 1)}.Quantile(upperQuantile95)
 	return Estimate{Mean: mean, HalfWidth: t * std / math.Sqrt(float64(len(xs))), N: len(xs)}
 }
 
+// String formats the estimate as "mean ± half width", without the half width if that is unknown.
 func (e Estimate) String() string {
 	if math.IsNaN(e.Mean) {
 		return "-"
 	}
 	if math.IsNaN(e.HalfWidth) {
-		return short(e.Mean)
+		return formatMetric(e.Mean)
 	}
-	return short(e.Mean) + " ± " + short(e.HalfWidth)
+	return formatMetric(e.Mean) + " ± " + formatMetric(e.HalfWidth)
 }
 
-func short(x float64) string {
+// formatMetric formats a number with as many decimal places as its magnitude needs in a table.
+func formatMetric(x float64) string {
 	switch a := math.Abs(x); {
 	case a == 0:
 		return "0"
@@ -56,18 +62,20 @@
 	return fmt.Sprintf("%.3f", x)
 }
 
-// Cell is all runs of one combination with one policy.
+// Cell is all finished runs of one combination of axis values with one policy.
 type Cell struct {
 	AxisValues []string
 	Policy     string
 	Rows       []Row
 }
 
-// Cells groups the finished runs, in the plan's order.
+// Cells returns the finished runs grouped into cells, in the plan's order.
 func (f *Folder) Cells() []Cell {
 	var cells []Cell
 	for _, r := range f.Rows() {
-		if n := len(cells); n == 0 || !slices.Equal(cells[n-1].AxisValues, r.AxisValues) || cells[n-1].Policy != r.Point.Policy {
+		n := len(cells)
+		newCell := n == 0 || cells[n-1].Policy != r.Point.Policy || !slices.Equal(cells[n-1].AxisValues, r.AxisValues)
+		if newCell {
 			cells = append(cells, Cell{AxisValues: r.AxisValues, Policy: r.Point.Policy})
 		}
 		last := &cells[len(cells)-1]
@@ -76,55 +84,60 @@
 	return cells
 }
 
-// Figure estimates a figure over a cell's runs.
-func (c Cell) Estimate(of func(*tally.Result) float64) Estimate {
+// Estimate estimates the mean of a metric over the runs of a cell.
+func (c Cell) Estimate(metric func(*tally.Result) float64) Estimate {
 	var xs []float64
 	for i := range c.Rows {
-		xs = append(xs, of(&c.Rows[i].Result))
+		xs = append(xs, metric(&c.Rows[i].Result))
 	}
 	return EstimateMean(xs)
 }
 
-// Difference is one figure of two sets of runs, paired by seed and parameters.
+// Difference compares one metric between two sets of runs, A and B, that are paired by seed and parameters.
 type Difference struct {
 	Name   string
 	A, B   Estimate
-	Diff   Estimate // B less A
-	Higher int      // pairs in which B is higher
-	Lower  int
+	Diff   Estimate // B minus A
+	Higher int      // number of pairs in which B is higher
+	Lower  int      // number of pairs in which B is lower
 }
 
-// Compare pairs runs and returns the difference of every figure. key tells which runs belong together; runs without a
-// partner are left out and counted.
-func Compare(a, b []Row, key func(Row) string) (diffs []Difference, pairs, alone int) {
-	of := map[string]Row{}
+// Compare pairs the runs of a and b for which key returns the same, and returns the difference of every metric and the
+// number of pairs. Runs that have no counterpart are left out and counted in unmatched.
+func Compare(a, b []Row, key func(Row) string) (diffs []Difference, pairs, unmatched int) {
+	byKey := map[string]Row{}
 	for _, r := range a {
-		of[key(r)] = r
+		byKey[key(r)] = r
 	}
-	var left, right []Row
+	var matchedA, matchedB []Row
 	for _, r := range b {
-		if l, ok := of[key(r)]; ok {
-			left, right = append(left, l), append(right, r)
+		if partner, ok := byKey[key(r)]; ok {
+			matchedA = append(matchedA, partner)
+			matchedB = append(matchedB, r)
 		}
 	}
-	alone = len(a) + len(b) - 2*len(left)
-	for _, c := range Columns {
-		d := Difference{Name: c.Name}
-		var xs, ys, ds []float64
-		for i := range left {
-			x, y := c.Of(&left[i].Result), c.Of(&right[i].Result)
-			xs, ys, ds = append(xs, x), append(ys, y), append(ds, y-x)
+	unmatched = len(a) + len(b) - 2*len(matchedA)
+	for _, column := range Columns {
+		d := Difference{Name: column.Name}
+		var valuesA, valuesB, differences []float64
+		for i := range matchedA {
+			x, y := column.Value(&matchedA[i].Result), column.Value(&matchedB[i].Result)
+			valuesA = append(valuesA, x)
+			valuesB = append(valuesB, y)
+			differences = append(differences, y-x)
 			if y > x {
 				d.Higher++
 			} else if y < x {
 				d.Lower++
 			}
 		}
-		d.A, d.B, d.Diff = EstimateMean(xs), EstimateMean(ys), EstimateMean(ds)
+		d.A = EstimateMean(valuesA)
+		d.B = EstimateMean(valuesB)
+		d.Diff = EstimateMean(differences)
 		diffs = append(diffs, d)
 	}
-	return diffs, len(left), alone
+	return diffs, len(matchedA), unmatched
 }
 
-// Clear tells whether the interval of the difference leaves out 0.
+// Significant reports whether the confidence interval of the difference excludes 0.
 func (d Difference) Significant() bool { return math.Abs(d.Diff.Mean) > d.Diff.HalfWidth }
