--- a/cmd/eiderlab/look.go
+++ b/cmd/eiderlab/look.go
@@ -1,4 +1,5 @@
-// This file owns the commands that show: compare, plot, and what scenarios may hold.
+// This file owns the commands that show results and reference lists: compare, plot, scenario, troubles and policies.
+// They must play no runs of their own; compare --on starts other eiderlab programs for that.
 
 package main
 
@@ -20,7 +21,7 @@
 )
 
 func newCompare() *cobra.Command {
-	var on, a, b, out string
+	var scenarioPath, policyA, policyB, out string
 	var seeds int
 	c := &cobra.Command{
 		Use:   "compare A [B]",
@@ -33,28 +34,29 @@
   eiderlab compare /tmp/eiderlab-old bin/eiderlab --on lab/scenarios/fleet.toml --seeds 10`,
 		Args: cobra.RangeArgs(1, 2),
 		RunE: func(c *cobra.Command, args []string) error {
-			folders, err := sides(c.Context(), args, on, out, seeds)
+			folders, err := openSides(c.Context(), args, scenarioPath, out, seeds)
 			if err != nil {
 				return err
 			}
-			return compare(folders, a, b, len(args) == 2)
+			return compare(folders, policyA, policyB, len(args) == 2)
 		},
 	}
-	c.Flags().StringVar(&on, "on", "", "A and B are programs: the scenario that both play")
+	c.Flags().StringVar(&scenarioPath, "on", "", "A and B are programs: the scenario that both play")
 	c.Flags().IntVar(&seeds, "seeds", 10, "with --on: seeds to play")
 	c.Flags().StringVar(&out, "out", "", "with --on: folder to keep both results in (default: a temporary one)")
-	c.Flags().StringVar(&a, "a", "", "policy of the first side (default: any)")
-	c.Flags().StringVar(&b, "b", "", "policy of the second side (default: any)")
+	c.Flags().StringVar(&policyA, "a", "", "policy of the first side (default: any)")
+	c.Flags().StringVar(&policyB, "b", "", "policy of the second side (default: any)")
 	return c
 }
 
-// sides opens the two results, playing them first where programs were named.
-func sides(ctx context.Context, args []string, on, out string, seeds int) ([2]*experiment.Folder, error) {
+// openSides opens the result folders of both sides. If scenarioPath is not empty, args names two eiderlab programs,
+// which play that scenario into subfolders a and b of out first. With a single folder, both sides are that folder.
+func openSides(ctx context.Context, args []string, scenarioPath, out string, seeds int) ([2]*experiment.Folder, error) {
 	var folders [2]*experiment.Folder
-	if on != "" && len(args) != 2 {
+	if scenarioPath != "" && len(args) != 2 {
 		return folders, usageError{fmt.Errorf("--on needs two programs")}
 	}
-	if on != "" && out == "" {
+	if scenarioPath != "" && out == "" {
 		dir, err := os.MkdirTemp("", "eiderlab-compare")
 		if err != nil {
 			return folders, err
@@ -63,9 +65,9 @@
 	}
 	for i := range folders {
 		path := args[min(i, len(args)-1)]
-		if on != "" {
+		if scenarioPath != "" {
 			target := filepath.Join(out, []string{"a", "b"}[i])
-			cmd := exec.CommandContext(ctx, path, "sweep", on, "--seeds", strconv.Itoa(seeds), "--out", target)
+			cmd := exec.CommandContext(ctx, path, "sweep", scenarioPath, "--seeds", strconv.Itoa(seeds), "--out", target)
 			cmd.Stderr = os.Stderr
 			if err := cmd.Run(); err != nil {
 				return folders, fmt.Errorf("%s: %w", path, err)
@@ -80,11 +82,12 @@
 	return folders, nil
 }
 
-func compare(f [2]*experiment.Folder, a, b string, two bool) error {
-	if !two && (a == "" || b == "" || a == b) {
+// compare prints the differences between the runs of two sides. An empty policy selects the runs of all policies.
+func compare(folders [2]*experiment.Folder, policyA, policyB string, twoFolders bool) error {
+	if !twoFolders && (policyA == "" || policyB == "" || policyA == policyB) {
 		return usageError{fmt.Errorf("with one folder, --a and --b must name two policies in it")}
 	}
-	pick := func(f *experiment.Folder, policy string) (rows []experiment.Row) {
+	rowsOf := func(f *experiment.Folder, policy string) (rows []experiment.Row) {
 		for _, r := range f.Rows() {
 			if policy == "" || r.Point.Policy == policy {
 				rows = append(rows, r)
@@ -93,13 +96,13 @@
 		return rows
 	}
 	key := func(r experiment.Row) string {
-		k := strings.Join(r.AxisValues, "\x00") + "\x00" + strconv.FormatUint(r.Point.Seed, 10)
-		if a == "" && b == "" {
-			k += "\x00" + r.Point.Policy
+		pairKey := strings.Join(r.AxisValues, "\x00") + "\x00" + strconv.FormatUint(r.Point.Seed, 10)
+		if policyA == "" && policyB == "" {
+			pairKey += "\x00" + r.Point.Policy
 		}
-		return k
+		return pairKey
 	}
-	diffs, pairs, alone := experiment.Compare(pick(f[0], a), pick(f[1], b), key)
+	diffs, pairs, unmatched := experiment.Compare(rowsOf(folders[0], policyA), rowsOf(folders[1], policyB), key)
 	if pairs == 0 {
 		return fmt.Errorf("no two runs have the same parameters and seed: nothing to compare")
 	}
@@ -109,10 +112,19 @@
 		if d.Significant() && d.Diff.N > 1 {
 			mark = "clear"
 		}
-		t.Rows = append(t.Rows, []string{d.Name, d.A.String(), d.B.String(), d.Diff.String(), strconv.Itoa(d.Higher), strconv.Itoa(d.Lower), mark})
+		t.Rows = append(t.Rows, []string{
+			d.Name,
+			d.A.String(),
+			d.B.String(),
+			d.Diff.String(),
+			strconv.Itoa(d.Higher),
+			strconv.Itoa(d.Lower),
+			mark,
+		})
 	}
 	printTable(t)
-	fmt.Printf("%d pairs, %d runs without a partner; 95 %% confidence intervals; clear: the interval of the difference leaves out 0\n", pairs, alone)
+	fmt.Printf("%d pairs, %d runs without a partner; 95 %% confidence intervals; "+
+		"clear: the interval of the difference leaves out 0\n", pairs, unmatched)
 	return nil
 }
 
@@ -142,7 +154,7 @@
 			if err != nil {
 				return err
 			}
-			if err := experiment.SaveRuns(args[0], text, results, bands(s)); err != nil {
+			if err := experiment.SaveRuns(args[0], text, results, troubleBands(s)); err != nil {
 				return err
 			}
 			fmt.Println("open", filepath.Join(args[0], "report.html"))
@@ -157,19 +169,19 @@
 		Use: "check FILE...", Short: "Read files and name every fault", Args: cobra.MinimumNArgs(1),
 		Example: "  eiderlab scenario check lab/scenarios/*.toml",
 		RunE: func(_ *cobra.Command, args []string) error {
-			bad := 0
+			refused := 0
 			for _, f := range args {
 				s, err := scenario.Load(f)
 				if err != nil {
-					bad++
+					refused++
 					fmt.Fprintln(os.Stderr, err)
 					continue
 				}
 				fmt.Printf("%s: good: %s, %d senders, %d destinations, %g messages a second, %d troubles\n", f, s.Name, s.Senders.Count,
 					s.DestinationCount(), s.Traffic.Rate, len(s.Troubles))
 			}
-			if bad > 0 {
-				return fmt.Errorf("%d of %d files are refused", bad, len(args))
+			if refused > 0 {
+				return fmt.Errorf("%d of %d files are refused", refused, len(args))
 			}
 			return nil
 		},
@@ -196,7 +208,7 @@
 	return c
 }
 
-// scenarioDoc is docs/lab-scenario.md; a test holds the two together.
+// scenarioDoc returns the text of docs/lab-scenario.md. A test fails if the file differs.
 func scenarioDoc() string {
 	var b strings.Builder
 	b.WriteString("# Scenario files of the lab\n\nPrinted by `eiderlab scenario keys` from the declarations in `lab/scenario`. TOML, strictly read: an unknown key, a\n" +
--- a/cmd/eiderlab/main.go
+++ b/cmd/eiderlab/main.go
@@ -1,5 +1,6 @@
-// Command eiderlab plays the decision module against a model of receivers in virtual time, and a running daemon against
-// stand-ins on sockets. It is a program of its own, so that the daemon links none of its libraries.
+// Command eiderlab plays the decision module against simulated receivers in virtual time, and running daemons against
+// stand-ins for discovery, receivers and clients on sockets. It is separate from the daemon so that the daemon links
+// none of its libraries.
 package main
 
 import (
@@ -16,25 +17,30 @@
 
 // Exit codes.
 const (
-	exitFailed = 1 // what was asked for could not be done, or a run broke a rule with --strict
-	exitUsage  = 2
-	exitBroken = 130 // stopped by a signal
+	exitFailed      = 1   // the command failed, or a run broke a rule (for run only with --strict)
+	exitUsage       = 2   // the command line is invalid
+	exitInterrupted = 130 // interrupted by a signal
 )
 
-// usageError is a fault of the command line.
+// gcPercent is the garbage collector's target unless GOGC is set. A run allocates much and retains little; at the
+// default of 100 it spends a quarter of its time on collection.
+const gcPercent = 400
+
+// usageError is an error in the command line.
 type usageError struct{ error }
 
 func main() {
 	if os.Getenv("GOGC") == "" {
-		debug.SetGCPercent(400) // a run makes much garbage and keeps little; without this a quarter of the time is collection
+		debug.SetGCPercent(gcPercent)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	err := newRoot().ExecuteContext(ctx)
-	os.Exit(report(err))
+	os.Exit(reportError(err))
 }
 
-func report(err error) int {
+// reportError prints an error, if there is one, and returns the exit code of the process.
+func reportError(err error) int {
 	if err == nil {
 		return 0
 	}
@@ -44,11 +50,12 @@
 	case errors.As(err, &usage):
 		return exitUsage
 	case errors.Is(err, context.Canceled):
-		return exitBroken
+		return exitInterrupted
 	}
 	return exitFailed
 }
 
+// newRoot returns the command line with all its commands.
 func newRoot() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "eiderlab",
@@ -64,15 +71,30 @@
 	root.SetFlagErrorFunc(func(c *cobra.Command, err error) error {
 		return usageError{fmt.Errorf("%w; see '%s --help'", err, c.CommandPath())}
 	})
-	root.AddCommand(newRun(), newSweep(), newCompare(), newHunt(), newReplay(), newPlot(), newReceivers(), newLoad(), newScale(), newRig(), newScenario(), newTroubles(), newPolicies())
+	root.AddCommand(
+		newRun(),
+		newSweep(),
+		newCompare(),
+		newHunt(),
+		newReplay(),
+		newPlot(),
+		newReceivers(),
+		newLoad(),
+		newScale(),
+		newRig(),
+		newScenario(),
+		newTroubles(),
+		newPolicies(),
+	)
 	return root
 }
 
-// exactly is cobra.ExactArgs with a usage error.
+// exactly is like cobra.ExactArgs but returns a usageError.
 func exactly(n int) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if len(args) != n {
-			return usageError{fmt.Errorf("%s takes %d arguments, got %d; see '%s --help'", c.Name(), n, len(args), c.CommandPath())}
+			return usageError{fmt.Errorf("%s takes %d arguments, got %d; see '%s --help'",
+				c.Name(), n, len(args), c.CommandPath())}
 		}
 		return nil
 	}
--- a/cmd/eiderlab/main_test.go
+++ b/cmd/eiderlab/main_test.go
@@ -11,8 +11,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// call runs the program's command line and returns what it printed.
-func call(t *testing.T, args ...string) (string, int) {
+// runCommand executes a command line in this process and returns its standard output with the error, and its exit code.
+func runCommand(t *testing.T, args ...string) (string, int) {
 	t.Helper()
 	read, write, err := os.Pipe()
 	if err != nil {
@@ -23,7 +23,7 @@
 	done := make(chan string)
 	go func() {
 		var b bytes.Buffer
-		_, _ = io.Copy(&b, read) // a pipe that is closed at the end
+		_, _ = io.Copy(&b, read) // ends when the write end is closed
 		done <- b.String()
 	}()
 	root := newRoot()
@@ -31,7 +31,7 @@
 	root.SetOut(write)
 	root.SetErr(write)
 	err = root.Execute()
-	code := report(err)
+	code := reportError(err)
 	os.Stdout = old
 	write.Close()
 	out := <-done
@@ -41,7 +41,7 @@
 	return out, code
 }
 
-func TestTheCommandLine(t *testing.T) {
+func TestCommandLine(t *testing.T) {
 	dir := t.TempDir()
 	bad := filepath.Join(dir, "bad.toml")
 	if err := os.WriteFile(bad, []byte("version = 1\nnmae = \"x\"\n"), 0o644); err != nil {
@@ -49,9 +49,9 @@
 	}
 	const calm = "../../lab/scenarios/calm.toml"
 	for _, row := range []struct {
-		args string
-		code int
-		says string
+		args       string
+		code       int
+		wantOutput string
 	}{
 		{"--help", 0, "eiderlab sweep lab/scenarios/fleet.toml"},
 		{"run --help", 0, "--policy"},
@@ -82,16 +82,16 @@
 		{"receivers " + calm + " --discovery 127.0.0.1:0 --for 100ms --config " + filepath.Join(dir, "c.json"), 0, "messages that took effect"},
 	} {
 		t.Run(row.args[:min(len(row.args), 40)], func(t *testing.T) {
-			out, code := call(t, strings.Fields(row.args)...)
-			if code != row.code || !strings.Contains(out, row.says) {
-				t.Errorf("eiderlab %s: code %d, want %d, saying %q:\n%s", row.args, code, row.code, row.says, out)
+			out, code := runCommand(t, strings.Fields(row.args)...)
+			if code != row.code || !strings.Contains(out, row.wantOutput) {
+				t.Errorf("eiderlab %s: code %d, want %d and output with %q:\n%s", row.args, code, row.code, row.wantOutput, out)
 			}
 		})
 	}
 }
 
-// TestTheKeysPageIsPrintedFromTheCode holds docs/lab-scenario.md and the declarations together.
-func TestTheKeysPageIsPrintedFromTheCode(t *testing.T) {
+// TestScenarioKeysPageIsUpToDate fails if docs/lab-scenario.md differs from what the declarations in the code produce.
+func TestScenarioKeysPageIsUpToDate(t *testing.T) {
 	have, err := os.ReadFile("../../docs/lab-scenario.md")
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/eiderlab/play.go
+++ b/cmd/eiderlab/play.go
@@ -1,4 +1,5 @@
-// This file owns the commands that play: run, sweep, hunt and replay.
+// This file owns the commands that play scenarios in virtual time: run, sweep, hunt and replay. Results go to standard
+// output and to folders; progress and timings must go to standard error only.
 
 package main
 
@@ -27,16 +28,21 @@
 	"eiderhaven/lab/world"
 )
 
-// loading holds the flags of commands that read a scenario.
-type loading struct{ set []string }
+// maxPrintedViolations is the number of broken rules printed for a run; the result in --out holds more of them.
+const maxPrintedViolations = 3
 
-func (l *loading) flags(c *cobra.Command) {
-	c.Flags().StringArrayVar(&l.set, "set", nil, "change a key of the scenario, KEY=VALUE; may be given again")
+// scenarioFlags holds the flags shared by all commands that read a scenario.
+type scenarioFlags struct{ set []string }
+
+// register adds the flags to a command.
+func (f *scenarioFlags) register(c *cobra.Command) {
+	c.Flags().StringArrayVar(&f.set, "set", nil, "change a key of the scenario, KEY=VALUE; may be given again")
 }
 
-func (l *loading) load(path string) (*scenario.Scenario, error) {
+// load reads a scenario file and applies the changes given by --set.
+func (f *scenarioFlags) load(path string) (*scenario.Scenario, error) {
 	s, err := scenario.Load(path)
-	for _, kv := range l.set {
+	for _, kv := range f.set {
 		if err != nil {
 			break
 		}
@@ -49,13 +55,13 @@
 	return s, err
 }
 
-// printTable shows a table on the terminal.
+// printTable prints a table to standard output.
 func printTable(t chart.Table) {
 	w := table.NewWriter()
 	w.SetOutputMirror(os.Stdout)
 	w.SetStyle(table.StyleLight)
 	w.Style().Format.Header = text.FormatDefault
-	row := func(cells []string) table.Row {
+	newRow := func(cells []string) table.Row {
 		var r table.Row
 		for _, c := range cells {
 			r = append(r, c)
@@ -69,18 +75,25 @@
 		}
 	}
 	w.SetColumnConfigs(configs)
-	w.AppendHeader(row(t.Head))
+	w.AppendHeader(newRow(t.Head))
 	for _, r := range t.Rows {
-		w.AppendRow(row(r))
+		w.AppendRow(newRow(r))
 	}
 	w.Render()
 }
 
-// bar shows progress on standard error, where that is a terminal; elsewhere it says nothing.
-func bar(n int, what string) *progressbar.ProgressBar {
-	return progressbar.NewOptions(n, progressbar.OptionSetWriter(os.Stderr), progressbar.OptionSetDescription(what),
-		progressbar.OptionShowCount(), progressbar.OptionSetPredictTime(true), progressbar.OptionSetVisibility(isTerminal(os.Stderr)),
-		progressbar.OptionClearOnFinish(), progressbar.OptionFullWidth(), progressbar.OptionThrottle(100*time.Millisecond))
+// newProgressBar returns a progress bar on standard error. It stays invisible if that is not a terminal.
+func newProgressBar(total int, description string) *progressbar.ProgressBar {
+	return progressbar.NewOptions(total,
+		progressbar.OptionSetWriter(os.Stderr),
+		progressbar.OptionSetDescription(description),
+		progressbar.OptionShowCount(),
+		progressbar.OptionSetPredictTime(true),
+		progressbar.OptionSetVisibility(isTerminal(os.Stderr)),
+		progressbar.OptionClearOnFinish(),
+		progressbar.OptionFullWidth(),
+		progressbar.OptionThrottle(100*time.Millisecond),
+	)
 }
 
 func isTerminal(f *os.File) bool {
@@ -89,7 +102,7 @@
 }
 
 func newRun() *cobra.Command {
-	var l loading
+	var flags scenarioFlags
 	var policies []string
 	var seed uint64
 	var out string
@@ -104,7 +117,7 @@
   eiderlab run lab/scenarios/fleet.toml --set senders.count=300 --set run.length=10m`,
 		Args: exactly(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			s, err := l.load(args[0])
+			s, err := flags.load(args[0])
 			if err != nil {
 				return err
 			}
@@ -121,32 +134,33 @@
 			}
 			var results []*tally.Result
 			for _, p := range policies {
-				began := time.Now()
+				started := time.Now()
 				r, err := world.Run(s, world.Options{Seed: seed, Policy: p, Workers: workers, Stop: c.Context().Done()})
 				if err != nil {
 					return err
 				}
-				took := time.Since(began)
-				fmt.Fprintf(os.Stderr, "%s: %.0f s of model time in %.2f s (%.0f times as fast), %d events, %.0f a second\n", p, r.ModelSeconds,
-					took.Seconds(), r.ModelSeconds/took.Seconds(), r.Events, float64(r.Events)/took.Seconds())
+				elapsed := time.Since(started)
+				fmt.Fprintf(os.Stderr, "%s: %.0f s of model time in %.2f s (%.0f times as fast), %d events, %.0f a second\n",
+					p, r.ModelSeconds, elapsed.Seconds(), r.ModelSeconds/elapsed.Seconds(),
+					r.Events, float64(r.Events)/elapsed.Seconds())
 				results = append(results, r)
 			}
 			printTable(experiment.RunTable(results))
-			printTroubles(results)
+			printProblems(results)
 			if out != "" {
 				text, err := s.Encode()
 				if err != nil {
 					return err
 				}
-				if err := experiment.SaveRuns(out, text, results, bands(s)); err != nil {
+				if err := experiment.SaveRuns(out, text, results, troubleBands(s)); err != nil {
 					return err
 				}
 				fmt.Println("kept in", out, "- open", filepath.Join(out, "report.html"))
 			}
-			return verdict(c.Context(), results, strict)
+			return runError(c.Context(), results, strict)
 		},
 	}
-	l.flags(c)
+	flags.register(c)
 	c.Flags().StringSliceVar(&policies, "policy", []string{"rules"}, "policies to play, see 'eiderlab policies'")
 	c.Flags().Uint64Var(&seed, "seed", 1, "seed of the day")
 	c.Flags().StringVar(&out, "out", "", "folder for results, tables and charts")
@@ -156,8 +170,8 @@
 	return c
 }
 
-// bands are the spans of troubles with a stated start.
-func bands(s *scenario.Scenario) []chart.Band {
+// troubleBands returns the time spans of the scenario's troubles, except those that recur at random times.
+func troubleBands(s *scenario.Scenario) []chart.Band {
 	var out []chart.Band
 	for _, t := range s.Troubles {
 		if t.Every == 0 {
@@ -167,8 +181,8 @@
 	return out
 }
 
-// printTroubles shows broken rules and faults.
-func printTroubles(results []*tally.Result) {
+// printProblems prints, for each run, why it stopped early, its margins, invalid actions and broken rules.
+func printProblems(results []*tally.Result) {
 	for _, r := range results {
 		if r.Stopped != "" {
 			fmt.Printf("%s: %s\n", r.Policy, r.Stopped)
@@ -183,16 +197,18 @@
 			continue
 		}
 		fmt.Printf("%s broke rules %d times: %v\n", r.Policy, r.ViolationCount, r.ByRule)
-		for _, b := range r.Violations[:min(3, len(r.Violations))] {
-			fmt.Printf("  %v\n", b)
-			for _, line := range b.Trail {
+		for _, violation := range r.Violations[:min(maxPrintedViolations, len(r.Violations))] {
+			fmt.Printf("  %v\n", violation)
+			for _, line := range violation.Trail {
 				fmt.Printf("      %s\n", line)
 			}
 		}
 	}
 }
 
-func verdict(ctx context.Context, results []*tally.Result, strict bool) error {
+// runError returns the error that a command reports after its runs: it was interrupted, a run stopped early, or, with
+// strict, a run broke a rule.
+func runError(ctx context.Context, results []*tally.Result, strict bool) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
@@ -208,10 +224,10 @@
 }
 
 func newSweep() *cobra.Command {
-	var l loading
+	var flags scenarioFlags
 	var vary, policies []string
 	var seeds, jobs int
-	var first uint64
+	var firstSeed uint64
 	var out string
 	var resume bool
 	c := &cobra.Command{
@@ -225,14 +241,14 @@
       --policy rules,backoff,oracle --out results/outage`,
 		Args: exactly(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			s, err := l.load(args[0])
+			s, err := flags.load(args[0])
 			if err != nil {
 				return err
 			}
 			if out == "" {
 				return usageError{errors.New("sweep needs --out FOLDER to keep its rows in")}
 			}
-			plan := &experiment.Plan{Scenario: s, Policies: policies, Seeds: experiment.Seeds(first, seeds)}
+			plan := &experiment.Plan{Scenario: s, Policies: policies, Seeds: experiment.Seeds(firstSeed, seeds)}
 			for _, v := range vary {
 				axis, err := experiment.ParseAxis(v)
 				if err != nil {
@@ -246,47 +262,50 @@
 			return sweep(c.Context(), plan, out, resume, jobs)
 		},
 	}
-	l.flags(c)
+	flags.register(c)
 	c.Flags().StringArrayVar(&vary, "vary", nil, "KEY=VALUE,VALUE,...: a parameter and its values; may be given again")
 	c.Flags().StringSliceVar(&policies, "policy", []string{"rules"}, "policies to play")
 	c.Flags().IntVar(&seeds, "seeds", 3, "seeds for each combination")
-	c.Flags().Uint64Var(&first, "first-seed", 1, "the first of them")
+	c.Flags().Uint64Var(&firstSeed, "first-seed", 1, "the first of them")
 	c.Flags().StringVar(&out, "out", "", "folder for rows, tables and charts")
 	c.Flags().BoolVar(&resume, "resume", false, "finish a sweep that was broken off")
 	c.Flags().IntVar(&jobs, "jobs", runtime.GOMAXPROCS(0), "runs at once")
 	return c
 }
 
+// sweep plays the plan's missing runs into the folder out and, if that finishes all of them, writes and prints the
+// report.
 func sweep(ctx context.Context, plan *experiment.Plan, out string, resume bool, jobs int) error {
-	f, err := experiment.Create(out, plan, resume)
+	folder, err := experiment.Create(out, plan, resume)
 	if err != nil {
 		return err
 	}
-	all := len(plan.Points())
-	progress := bar(all, plan.Scenario.Name)
-	played := experiment.Play(ctx, f, jobs, func(n, _ int) { _ = progress.Set(n) })
+	total := len(plan.Points())
+	progress := newProgressBar(total, plan.Scenario.Name)
+	playErr := experiment.Play(ctx, folder, jobs, func(n, _ int) { _ = progress.Set(n) })
 	_ = progress.Finish()
-	if err := f.Close(); err != nil {
+	if err := folder.Close(); err != nil {
 		return err
 	}
-	if left := len(f.Missing()); left > 0 {
-		return fmt.Errorf("%d of %d runs are kept in %s; the same command with --resume plays the rest: %w", all-left, all, out, played)
+	if missing := len(folder.Missing()); missing > 0 {
+		return fmt.Errorf("%d of %d runs are kept in %s; the same command with --resume plays the rest: %w",
+			total-missing, total, out, playErr)
 	}
-	if played != nil {
-		return played
+	if playErr != nil {
+		return playErr
 	}
-	if err := f.Report(); err != nil {
+	if err := folder.Report(); err != nil {
 		return err
 	}
-	printTable(f.Summary())
+	printTable(folder.Summary())
 	fmt.Println("kept in", out, "- open", filepath.Join(out, "report.html"))
 	return nil
 }
 
 func newHunt() *cobra.Command {
-	var l loading
+	var flags scenarioFlags
 	var days, keep, jobs int
-	var first uint64
+	var firstSeed uint64
 	var out string
 	c := &cobra.Command{
 		Use:   "hunt SCENARIO",
@@ -297,34 +316,36 @@
 		Example: "  eiderlab hunt lab/scenarios/mixed.toml --days 200 --out found",
 		Args:    exactly(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			s, err := l.load(args[0])
+			s, err := flags.load(args[0])
 			if err != nil {
 				return err
 			}
-			progress := bar(days, "days")
-			found, err := experiment.Hunt(c.Context(), s, first, days, keep, jobs, func(n int) { _ = progress.Set(n) })
+			progress := newProgressBar(days, "days")
+			showDays := func(n int) { _ = progress.Set(n) }
+			findings, err := experiment.Hunt(c.Context(), s, firstSeed, days, keep, jobs, showDays)
 			_ = progress.Finish()
 			if err != nil {
 				return err
 			}
-			return showFound(found, out)
+			return writeFindings(findings, out)
 		},
 	}
-	l.flags(c)
+	flags.register(c)
 	c.Flags().IntVar(&days, "days", 100, "days to draw")
 	c.Flags().IntVar(&keep, "keep", 8, "days to show, one for each set of troubles")
-	c.Flags().Uint64Var(&first, "first-seed", 1, "seed of the first day")
+	c.Flags().Uint64Var(&firstSeed, "first-seed", 1, "seed of the first day")
 	c.Flags().IntVar(&jobs, "jobs", runtime.GOMAXPROCS(0), "days at once")
 	c.Flags().StringVar(&out, "out", "found", "folder for the days found")
 	return c
 }
 
-func showFound(found []experiment.Finding, out string) error {
+// writeFindings writes each day that a hunt found as a scenario file and prints a table of them.
+func writeFindings(findings []experiment.Finding, out string) error {
 	t := chart.Table{Head: []string{"day", "troubles", "G", "oracle", "why"}}
 	if err := os.MkdirAll(out, 0o755); err != nil {
 		return err
 	}
-	for i, f := range found {
+	for i, f := range findings {
 		name := fmt.Sprintf("%s-%d.toml", f.Scenario.Name, f.Seed)
 		s := *f.Scenario
 		s.About = fmt.Sprintf("found by a hunt, play it with --seed %d: %s", f.Seed, f.Reason())
@@ -335,10 +356,15 @@
 		if err := os.WriteFile(filepath.Join(out, name), text, 0o644); err != nil {
 			return err
 		}
-		t.Rows = append(t.Rows, []string{fmt.Sprintf("%d: %s", i+1, filepath.Join(out, name)), f.TroubleKinds(),
-			fmt.Sprintf("%.3f", f.Module.G), fmt.Sprintf("%.3f", f.Oracle.G), f.Reason()})
+		t.Rows = append(t.Rows, []string{
+			fmt.Sprintf("%d: %s", i+1, filepath.Join(out, name)),
+			f.TroubleKinds(),
+			fmt.Sprintf("%.3f", f.Module.G),
+			fmt.Sprintf("%.3f", f.Oracle.G),
+			f.Reason(),
+		})
 	}
-	if len(found) == 0 {
+	if len(findings) == 0 {
 		fmt.Println("no day on which the module was worse than the oracle")
 		return nil
 	}
@@ -347,7 +373,7 @@
 }
 
 func newReplay() *cobra.Command {
-	var l loading
+	var flags scenarioFlags
 	var policy, message string
 	var seed uint64
 	var from, to time.Duration
@@ -358,11 +384,14 @@
   eiderlab replay lab/scenarios/calm.toml --message m120`,
 		Args: exactly(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			s, err := l.load(args[0])
+			s, err := flags.load(args[0])
 			if err != nil {
 				return err
 			}
-			lines := 0
+			printed := 0
+
+			// trace prints those lines of the timeline that concern the chosen message and span of time. Lines that
+			// don't start with a time are left out.
 			trace := func(line string) {
 				var at float64
 				if _, err := fmt.Sscanf(strings.TrimSpace(line), "%fs", &at); err != nil {
@@ -374,19 +403,20 @@
 				if message != "" && !strings.Contains(line, " "+message+":") && !strings.Contains(line, " "+message+".") {
 					return
 				}
-				lines++
+				printed++
 				fmt.Println(line)
 			}
 			r, err := world.Run(s, world.Options{Seed: seed, Policy: policy, Trace: trace, Workers: 1, Stop: c.Context().Done()})
 			if err != nil {
 				return err
 			}
-			fmt.Printf("%d lines; G %.3f, %d of %d served, rules broken %d times\n", lines, r.G, r.Served, r.Submitted, r.ViolationCount)
-			printTroubles([]*tally.Result{r})
-			return verdict(c.Context(), []*tally.Result{r}, false)
+			fmt.Printf("%d lines; G %.3f, %d of %d served, rules broken %d times\n",
+				printed, r.G, r.Served, r.Submitted, r.ViolationCount)
+			printProblems([]*tally.Result{r})
+			return runError(c.Context(), []*tally.Result{r}, false)
 		},
 	}
-	l.flags(c)
+	flags.register(c)
 	c.Flags().StringVar(&policy, "policy", "rules", "policy to play")
 	c.Flags().Uint64Var(&seed, "seed", 1, "seed of the day")
 	c.Flags().StringVar(&message, "message", "", "only this message and its later tries, such as m120")
--- a/cmd/eiderlab/rig.go
+++ b/cmd/eiderlab/rig.go
@@ -1,4 +1,5 @@
-// This file owns the rig's command.
+// This file owns the command rig, which plays faults against real daemons. It must never signal a process that it did
+// not start.
 
 package main
 
@@ -17,8 +18,11 @@
 	"eiderhaven/lab/scale"
 )
 
-// errBroken tells that a run broke a rule.
-var errBroken = errors.New("a rule was broken")
+// maxPrintedRigViolations is the number of broken rules printed for a run; runs.jsonl holds its whole result.
+const maxPrintedRigViolations = 10
+
+// errRuleBroken is returned if a run broke a rule.
+var errRuleBroken = errors.New("a rule was broken")
 
 func newRig() *cobra.Command {
 	var o rig.Options
@@ -49,29 +53,30 @@
 			if err := p.CheckResources(s, machine); err != nil {
 				return err
 			}
-			if o.RecordsDir = out; out == "" {
+			o.RecordsDir = out
+			if out == "" {
 				o.RecordsDir = filepath.Join("results", "rig")
 			}
-			var broken []uint64
+			var brokenSeeds []uint64
 			var margins []float64
 			defer func() { fmt.Println(margin.Summarize(margins)) }()
 			for range seeds {
 				r, err := rig.Run(c.Context(), p, s, o)
 				if r != nil {
 					margins = append(margins, r.Margins...)
-					err = errors.Join(err, showRig(r, o.RecordsDir))
+					err = errors.Join(err, recordRun(r, o.RecordsDir))
 				}
 				if err != nil {
 					return err
 				}
 				if len(r.Violations) > 0 {
-					broken = append(broken, o.Seed)
+					brokenSeeds = append(brokenSeeds, o.Seed)
 				}
 				o.Seed++
 			}
-			fmt.Printf("%d of %d seeds broke something: %v\n", len(broken), seeds, broken)
-			if len(broken) > 0 {
-				return errBroken
+			fmt.Printf("%d of %d seeds broke something: %v\n", len(brokenSeeds), seeds, brokenSeeds)
+			if len(brokenSeeds) > 0 {
+				return errRuleBroken
 			}
 			return nil
 		},
@@ -84,8 +89,8 @@
 	return c
 }
 
-// showRig prints a line for a run, and one for each break; the line is also kept in runs.jsonl.
-func showRig(r *rig.Result, dir string) error {
+// recordRun appends the result of a run to runs.jsonl and prints a summary with its first broken rules.
+func recordRun(r *rig.Result, dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
@@ -101,11 +106,14 @@
 	if _, err := f.Write(append(text, '\n')); err != nil {
 		return err
 	}
-	fmt.Printf("seed %d: %d handed in, %d taken, %d outages, %d fallen, %d breaks, signals %v, clients late by %.1f ms (p99), receivers by %.1f ms at most\n",
-		r.Seed, r.Submitted, r.Accepted, r.Outages, len(r.Overloads), len(r.Violations), r.Signals, r.ClientDelayP99Ms, r.ReceiverLagMs)
+	fmt.Printf("seed %d: %d handed in, %d taken, %d outages, %d fallen, %d breaks, signals %v, "+
+		"clients late by %.1f ms (p99), receivers by %.1f ms at most\n",
+		r.Seed, r.Submitted, r.Accepted, r.Outages, len(r.Overloads), len(r.Violations), r.Signals,
+		r.ClientDelayP99Ms, r.ReceiverLagMs)
 	fmt.Println(" ", margin.Summarize(slices.Clone(r.Margins)))
-	for _, b := range r.Violations[:min(len(r.Violations), 10)] {
-		fmt.Printf("  %s rule %s, sender %d, message %s: %s\n", b.At.Format("15:04:05.000"), b.Rule, b.Sender, b.ID, b.Text)
+	for _, v := range r.Violations[:min(len(r.Violations), maxPrintedRigViolations)] {
+		fmt.Printf("  %s rule %s, sender %d, message %s: %s\n",
+			v.At.Format("15:04:05.000"), v.Rule, v.Sender, v.ID, v.Text)
 	}
 	return nil
 }
--- a/cmd/eiderlab/scale.go
+++ b/cmd/eiderlab/scale.go
@@ -1,4 +1,5 @@
-// This file owns the scale run's command.
+// This file owns the command scale, which measures real daemons under many destinations and messages. An invalid plan
+// must be refused before a process is started or a folder created.
 
 package main
 
@@ -18,6 +19,14 @@
 	"eiderhaven/lab/scale"
 )
 
+const (
+	// maxPrintedTables is the number of tables that a run prints; the folder's page holds all of them.
+	maxPrintedTables = 3
+
+	// revisionPrefixLength is the number of digits of the daemon's commit hash that the report shows.
+	revisionPrefixLength = 10
+)
+
 func newScale() *cobra.Command {
 	var o scale.Options
 	var out string
@@ -44,6 +53,7 @@
 	return c
 }
 
+// runScale plays the plan at path, or with redraw only reads its stored rows, and writes the folder's report.
 func runScale(ctx context.Context, path, out string, o scale.Options, redraw bool) error {
 	if ctx == nil {
 		ctx = context.Background()
@@ -70,7 +80,7 @@
 	if err != nil {
 		return err
 	}
-	folder.Environment = about(o.Program, machine)
+	folder.Environment = describeSetup(o.Program, machine)
 	if redraw {
 		return folder.Save()
 	}
@@ -80,25 +90,25 @@
 		return err
 	}
 	folder.ReplaceRows(o.Axes, rows)
-	if saved := folder.Save(); saved != nil {
-		return errors.Join(err, saved)
+	if saveErr := folder.Save(); saveErr != nil {
+		return errors.Join(err, saveErr)
 	}
-	for _, t := range folder.Tables()[:min(3, len(folder.Tables()))] {
+	for _, t := range folder.Tables()[:min(maxPrintedTables, len(folder.Tables()))] {
 		printTable(t)
 	}
 	fmt.Println("kept in", out, "- open", filepath.Join(out, "report.html"))
 	return err
 }
 
-// about says which daemon was measured on what.
-func about(program string, m scale.Machine) string {
+// describeSetup describes the daemon's build and the machine, for the report.
+func describeSetup(program string, machine scale.Machine) string {
 	build := "of unknown build"
 	if info, err := buildinfo.ReadFile(program); err == nil {
 		build = info.GoVersion
 		for _, s := range info.Settings {
 			switch {
 			case s.Key == "vcs.revision":
-				build += ", commit " + s.Value[:min(10, len(s.Value))]
+				build += ", commit " + s.Value[:min(revisionPrefixLength, len(s.Value))]
 			case s.Key == "vcs.modified" && s.Value == "true":
 				build += " with changes"
 			}
@@ -107,5 +117,6 @@
 	if text, err := os.ReadFile(program); err == nil {
 		build += fmt.Sprintf(", SHA-256 %.12x", sha256.Sum256(text))
 	}
-	return fmt.Sprintf("The daemon: %s. The machine: %d cores, %d GB, %s/%s. Measured on loopback; one play each.", strings.TrimSpace(build), m.Cores, m.Memory>>30, runtime.GOOS, runtime.GOARCH)
+	return fmt.Sprintf("The daemon: %s. The machine: %d cores, %d GB, %s/%s. Measured on loopback; one play each.",
+		strings.TrimSpace(build), machine.Cores, machine.Memory>>30, runtime.GOOS, runtime.GOARCH)
 }
--- a/cmd/eiderlab/sockets.go
+++ b/cmd/eiderlab/sockets.go
@@ -1,4 +1,5 @@
-// This file owns the commands on sockets: receivers and load.
+// This file owns the commands that play parts of a scenario on sockets in real time: receivers and load. They must use
+// loopback addresses only.
 
 package main
 
@@ -19,11 +20,15 @@
 	"eiderhaven/lab/scenario"
 )
 
+// maxLoadLatenessMs is the 99th percentile of the lateness of requests above which the load generator could not keep
+// its schedule, so that its own delay distorts the measured times.
+const maxLoadLatenessMs = 5
+
 func newReceivers() *cobra.Command {
-	var l loading
+	var flags scenarioFlags
 	var discovery, listen, config, out string
 	var seed uint64
-	var length time.Duration
+	var duration time.Duration
 	c := &cobra.Command{
 		Use:   "receivers SCENARIO",
 		Short: "Play discovery and receivers on sockets, for a running daemon",
@@ -37,20 +42,20 @@
   eiderlab load lab/scenarios/calm.toml --target 127.0.0.1:9000`,
 		Args: exactly(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			s, err := l.load(args[0])
+			s, err := flags.load(args[0])
 			if err != nil {
 				return err
 			}
-			v, err := live.NewReceivers(s, seed, discovery, func(line string) { fmt.Println(line) })
+			receivers, err := live.NewReceivers(s, seed, discovery, func(line string) { fmt.Println(line) })
 			if err != nil {
 				return err
 			}
-			fmt.Printf("discovery on %s, %d endpoints of %d destinations\n", v.DiscoveryAddr(), v.ListenerCount(), s.DestinationCount())
+			fmt.Printf("discovery on %s, %d endpoints of %d destinations\n", receivers.DiscoveryAddr(), receivers.ListenerCount(), s.DestinationCount())
 			if skipped := live.SkippedTroubles(s); len(skipped) > 0 {
 				fmt.Println("not played here:", strings.Join(skipped, ", "))
 			}
 			if config != "" {
-				text, err := live.Config(s, "n1", listen, v.DiscoveryAddr())
+				text, err := live.Config(s, "n1", listen, receivers.DiscoveryAddr())
 				if err != nil {
 					return err
 				}
@@ -60,44 +65,46 @@
 				fmt.Printf("a configuration for the daemon is in %s; it will listen on %s\n", config, listen)
 			}
 			ctx := c.Context()
-			if length > 0 {
+			if duration > 0 {
 				var stop context.CancelFunc
-				ctx, stop = context.WithTimeout(ctx, length)
+				ctx, stop = context.WithTimeout(ctx, duration)
 				defer stop()
 			}
-			v.Run(ctx)
-			return showCounts(v.Counts(), out)
+			receivers.Run(ctx)
+			return printCounts(receivers.Counts(), out)
 		},
 	}
-	l.flags(c)
+	flags.register(c)
 	c.Flags().StringVar(&discovery, "discovery", "127.0.0.1:8500", "where discovery listens")
 	c.Flags().StringVar(&listen, "listen", "127.0.0.1:9000", "with --config: where the daemon is to listen")
 	c.Flags().StringVar(&config, "config", "", "write a configuration for the daemon to this file")
 	c.Flags().StringVar(&out, "out", "", "write what was seen to this file, as JSON")
 	c.Flags().Uint64Var(&seed, "seed", 1, "seed of the day")
-	c.Flags().DurationVar(&length, "for", 0, "end after this time (default: at Ctrl-C)")
+	c.Flags().DurationVar(&duration, "for", 0, "end after this time (default: at Ctrl-C)")
 	return c
 }
 
-func showCounts(n live.Counts, out string) error {
+// printCounts prints what the receivers saw and writes it to the file out, unless that is empty.
+func printCounts(counts live.Counts, out string) error {
 	t := chart.Table{Head: []string{"receivers saw", ""}}
-	add := func(name string, x int) { t.Rows = append(t.Rows, []string{name, strconv.Itoa(x)}) }
-	add("connections", n.Connections)
-	add("of them refused", n.ConnectionsRefused)
-	add("calls", n.Calls)
+	addRow := func(name string, x int) { t.Rows = append(t.Rows, []string{name, strconv.Itoa(x)}) }
+	addRow("connections", counts.Connections)
+	addRow("of them refused", counts.ConnectionsRefused)
+	addRow("calls", counts.Calls)
 	for _, name := range []string{"served", "turned away", "failed", "reset", "served, answer lost", "given up"} {
-		add("calls "+name, n.Outcomes[name])
-	}
-	add("messages that took effect", n.Messages)
-	add("repeats of such", n.Repeats)
-	add("effects doubled that must not be", n.DuplicateEffects)
-	add("notices: dead", n.Dead)
-	add("notices: bounced", n.Bounced)
-	add("units fallen over", n.UnitsOverloaded)
+		addRow("calls "+name, counts.Outcomes[name])
+	}
+	addRow("messages that took effect", counts.Messages)
+	addRow("repeats of such", counts.Repeats)
+	addRow("effects doubled that must not be", counts.DuplicateEffects)
+	addRow("notices: dead", counts.Dead)
+	addRow("notices: bounced", counts.Bounced)
+	addRow("units fallen over", counts.UnitsOverloaded)
 	printTable(t)
-	return writeJSON(out, n)
+	return writeJSON(out, counts)
 }
 
+// writeJSON writes a value as JSON to the file at path, unless that is empty.
 func writeJSON(path string, v any) error {
 	if path == "" {
 		return nil
@@ -110,7 +117,7 @@
 }
 
 func newLoad() *cobra.Command {
-	var l loading
+	var flags scenarioFlags
 	var o live.LoadOptions
 	var out string
 	c := &cobra.Command{
@@ -123,7 +130,7 @@
   eiderlab load lab/scenarios/calm.toml --target 127.0.0.1:9000 --set traffic.rate=2000 --set run.length=20s --out results/load`,
 		Args: exactly(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			s, err := l.load(args[0])
+			s, err := flags.load(args[0])
 			if err != nil {
 				return err
 			}
@@ -137,10 +144,10 @@
 			go showProgress(ctx, s)
 			r := load.Run(c.Context())
 			stop()
-			return showLoad(s, r, out)
+			return reportLoad(s, r, out)
 		},
 	}
-	l.flags(c)
+	flags.register(c)
 	c.Flags().StringSliceVar(&o.Targets, "target", []string{"127.0.0.1:9000"}, "addresses of senders, on loopback")
 	c.Flags().Uint64Var(&o.Seed, "seed", 1, "seed of the day")
 	c.Flags().IntVar(&o.BodyBytes, "body", 200, "bytes of a message")
@@ -150,39 +157,42 @@
 	return c
 }
 
+// showProgress advances a progress bar once a second until the scenario's length has passed or ctx ends.
 func showProgress(ctx context.Context, s *scenario.Scenario) {
 	length := int(s.Run.Length.D().Seconds())
-	b := bar(max(length, 1), "load, s")
-	defer b.Finish()
+	progress := newProgressBar(max(length, 1), "load, s")
+	defer progress.Finish()
 	for i := range length {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(time.Second):
-			_ = b.Set(i + 1)
+			_ = progress.Set(i + 1)
 		}
 	}
 }
 
-func showLoad(s *scenario.Scenario, r *live.LoadResult, out string) error {
+// reportLoad prints the figures of a load run and writes them with charts and a page to the folder out, unless that is
+// empty.
+func reportLoad(s *scenario.Scenario, r *live.LoadResult, out string) error {
 	t := chart.Table{Title: "Load", Head: []string{"load", ""}}
-	add := func(name, format string, x any) { t.Rows = append(t.Rows, []string{name, fmt.Sprintf(format, x)}) }
-	add("first tries", "%d", r.FirstTries)
-	add("later tries", "%d", r.LaterTries)
-	add("taken (202)", "%d", r.Accepted)
-	add("taken a second", "%.0f", float64(r.Accepted)/max(r.Seconds, 1e-9))
-	add("refused (429, 503)", "%d", r.Refused)
-	add("other answers", "%d", r.Failed)
-	add("no answer in time", "%d", r.NoAnswer)
-	add("connections opened", "%d", r.ConnectionsOpened)
-	add("p50, ms", "%.2f", r.P50)
-	add("p90, ms", "%.2f", r.P90)
-	add("p99, ms", "%.2f", r.P99)
-	add("p99.9, ms", "%.2f", r.P999)
-	add("longest, ms", "%.2f", r.Max)
-	add("requests begun late by (p99), ms", "%.2f", r.StartDelayP99)
+	addRow := func(name, format string, x any) { t.Rows = append(t.Rows, []string{name, fmt.Sprintf(format, x)}) }
+	addRow("first tries", "%d", r.FirstTries)
+	addRow("later tries", "%d", r.LaterTries)
+	addRow("taken (202)", "%d", r.Accepted)
+	addRow("taken a second", "%.0f", float64(r.Accepted)/max(r.Seconds, 1e-9))
+	addRow("refused (429, 503)", "%d", r.Refused)
+	addRow("other answers", "%d", r.Failed)
+	addRow("no answer in time", "%d", r.NoAnswer)
+	addRow("connections opened", "%d", r.ConnectionsOpened)
+	addRow("p50, ms", "%.2f", r.P50)
+	addRow("p90, ms", "%.2f", r.P90)
+	addRow("p99, ms", "%.2f", r.P99)
+	addRow("p99.9, ms", "%.2f", r.P999)
+	addRow("longest, ms", "%.2f", r.Max)
+	addRow("requests begun late by (p99), ms", "%.2f", r.StartDelayP99)
 	printTable(t)
-	if r.StartDelayP99 > 5 {
+	if r.StartDelayP99 > maxLoadLatenessMs {
 		fmt.Println("requests were begun late: this machine could not keep the schedule, and times hold its share too")
 	}
 	if out == "" {
@@ -200,8 +210,12 @@
 			return err
 		}
 	}
-	page := &chart.Page{Title: s.Name + ": load", About: "Real sockets on loopback, simulated clients; times count from when a request was planned.",
-		Tables: []chart.Table{t}, Charts: charts}
+	page := &chart.Page{
+		Title:  s.Name + ": load",
+		About:  "Real sockets on loopback, simulated clients; times count from when a request was planned.",
+		Tables: []chart.Table{t},
+		Charts: charts,
+	}
 	html, err := page.HTML()
 	if err != nil {
 		return err
@@ -210,22 +224,39 @@
 	return os.WriteFile(filepath.Join(out, "report.html"), html, 0o644)
 }
 
+// loadCharts returns the charts of a load run over time: answers by outcome, and response times.
 func loadCharts(s *scenario.Scenario, r *live.LoadResult) []*chart.Chart {
-	line := func(name string, of func(live.LoadWindow) float64) chart.Line {
+	newLine := func(name string, value func(live.LoadWindow) float64) chart.Line {
 		l := chart.Line{Name: name}
 		for i, w := range r.Series {
-			l.X, l.Y = append(l.X, float64(i)), append(l.Y, of(w))
+			l.X = append(l.X, float64(i))
+			l.Y = append(l.Y, value(w))
 		}
 		return l
 	}
-	return []*chart.Chart{
-		{Title: s.Name + ": answers", XLabel: "time, s", YLabel: "requests a second", YFromZero: true, Bands: bands(s), Lines: []chart.Line{
-			line("planned", func(w live.LoadWindow) float64 { return float64(w.Planned) }),
-			line("taken", func(w live.LoadWindow) float64 { return float64(w.Accepted) }),
-			line("refused", func(w live.LoadWindow) float64 { return float64(w.Refused) }),
-			line("unheard or failed", func(w live.LoadWindow) float64 { return float64(w.NoAnswer + w.Failed) })}},
-		{Title: s.Name + ": time to the answer", XLabel: "time, s", YLabel: "ms, from the planned time", LogY: true, Bands: bands(s), Lines: []chart.Line{
-			line("p50", func(w live.LoadWindow) float64 { return w.P50 }),
-			line("p99", func(w live.LoadWindow) float64 { return w.P99 })}},
+	answers := &chart.Chart{
+		Title:     s.Name + ": answers",
+		XLabel:    "time, s",
+		YLabel:    "requests a second",
+		YFromZero: true,
+		Bands:     troubleBands(s),
+		Lines: []chart.Line{
+			newLine("planned", func(w live.LoadWindow) float64 { return float64(w.Planned) }),
+			newLine("taken", func(w live.LoadWindow) float64 { return float64(w.Accepted) }),
+			newLine("refused", func(w live.LoadWindow) float64 { return float64(w.Refused) }),
+			newLine("unheard or failed", func(w live.LoadWindow) float64 { return float64(w.NoAnswer + w.Failed) }),
+		},
+	}
+	times := &chart.Chart{
+		Title:  s.Name + ": time to the answer",
+		XLabel: "time, s",
+		YLabel: "ms, from the planned time",
+		LogY:   true,
+		Bands:  troubleBands(s),
+		Lines: []chart.Line{
+			newLine("p50", func(w live.LoadWindow) float64 { return w.P50 }),
+			newLine("p99", func(w live.LoadWindow) float64 { return w.P99 }),
+		},
 	}
+	return []*chart.Chart{answers, times}
 }
