--- a/lab/experiment/report.go
+++ b/lab/experiment/report.go
@@ -360,8 +360,8 @@
 		addLines(c, true, func(w *tally.Window) float64 { return float64(count(w)) })
 		return c
 	}
-	// timeOverTime returns a chart of a time in milliseconds on a logarithmic axis.
-	timeOverTime := func(title string, milliseconds func(*tally.Window) float64) *chart.Chart {
+	// latencyOverTime returns a chart of a latency in milliseconds on a logarithmic axis.
+	latencyOverTime := func(title string, milliseconds func(*tally.Window) float64) *chart.Chart {
 		c := newChart(title, "ms")
 		c.LogY = true
 		addLines(c, false, milliseconds)
@@ -388,8 +388,8 @@
 		rateOverTime("messages refused or failed", "messages a second", func(w *tally.Window) int {
 			return w.Refused + w.Failed + w.TurnedAway
 		}),
-		timeOverTime("median time to delivery", func(w *tally.Window) float64 { return w.P50 }),
-		timeOverTime("99th percentile of the time to delivery", func(w *tally.Window) float64 { return w.P99 }),
+		latencyOverTime("median time to delivery", func(w *tally.Window) float64 { return w.P50 }),
+		latencyOverTime("99th percentile of the time to delivery", func(w *tally.Window) float64 { return w.P99 }),
 		held,
 	}
 	return append(charts, destinationCharts(first, bands)...)
