--- a/lab/judge/judge.go
+++ b/lab/judge/judge.go
@@ -1,6 +1,8 @@
-// Package judge owns the six rules as an onlooker sees them: it watches every message, call, outcome and list, and names
-// each break with its time, sender, message and the events that led to it. It must share no code with the decision
-// module, believe nothing that a policy says of itself, and change nothing in a run.
+// Package judge checks the six delivery rules of a simulated run from the outside. It observes every message, attempt,
+// outcome and endpoint list, and records each violation with its time, sender, message and the events that led to it.
+//
+// It must share no code with the decision module (package rules) except the types of its interface, use no state that
+// a policy reports about itself, and change nothing in a run.
 package judge
 
 import (
@@ -16,95 +18,117 @@
 	"eiderhaven/rules"
 )
 
-// Rule numbers a rule as the project's brief does.
+// Rule is one of the six delivery rules. The numbers are those of the project's documentation and are part of result
+// files.
 type Rule int
 
 // The rules.
 const (
-	LostMessage       Rule = 1 + iota // a message without its one end in time
-	DoubleEffect                      // a repeat, or a refusal, beyond what the class allows
-	DrainIgnored                      // new work to an endpoint that drains or is gone
-	RecoveryOverload                  // a returning destination pushed over
-	OutOfOrder                        // out of the order of its key
-	RetryAfterIgnored                 // sent during a told wait
+	LostMessage       Rule = 1 + iota // a message did not get exactly one final answer in time
+	DoubleEffect                      // a repeat or a refusal risked a second effect that the class does not allow
+	DrainIgnored                      // a new attempt to an endpoint that is draining, removed or was never listed
+	RecoveryOverload                  // a destination was overloaded while it recovered from an outage
+	OutOfOrder                        // messages of one order key were not sent one at a time and in order
+	RetryAfterIgnored                 // an attempt before the end of a retry-after
 )
 
-// Rules lists all.
+// Rules lists all rules by number.
 var Rules = []Rule{LostMessage, DoubleEffect, DrainIgnored, RecoveryOverload, OutOfOrder, RetryAfterIgnored}
 
 func (r Rule) String() string {
 	return [...]string{"", "1 lost message", "2 double effect", "3 drain", "4 pushed over", "5 order", "6 wait"}[r]
 }
 
-// Break is one broken rule.
+// Violation is one breach of a rule. Its fields are written to result files under their Go names.
 type Violation struct {
 	Rule    Rule
 	At      time.Duration
 	Sender  int
-	Message rules.MessageID // empty for rule 4, which is about many
+	Message rules.MessageID // empty for RecoveryOverload, which concerns many messages
 	Text    string
-	Trail   []string // what led to it, oldest first
+	Trail   []string // the events that led to it, oldest first
 }
 
-func (b Violation) String() string {
-	return fmt.Sprintf("%.3fs rule %v, sender %d, message %s: %s", b.At.Seconds(), b.Rule, b.Sender, cmp.Or(string(b.Message), "-"), b.Text)
+func (v Violation) String() string {
+	message := cmp.Or(string(v.Message), "-")
+	return fmt.Sprintf("%.3fs rule %v, sender %d, message %s: %s", v.At.Seconds(), v.Rule, v.Sender, message, v.Text)
 }
 
-// keep bounds the breaks kept in full; all are counted.
-const keep = 50
+const (
+	// Number of violations that are kept in full; the rest are only counted.
+	maxKeptViolations = 50
+
+	// Length of the intervals in which messages that are past their deadline are looked for.
+	sweepInterval = 100 * time.Millisecond
+
+	// Number of senders listed in the trail of a RecoveryOverload, those with the most calls first.
+	maxListedSenders = 8
+)
+
+// Names of scenario.Class.Effect and scenario.Class.Scope as scenario files have them.
+const (
+	effectSafe  = "safe"
+	effectKeyed = "keyed"
+	effectOnce  = "once"
 
-// sweepStep is how often messages that were never ended are looked for.
-const sweepStep = 100 * time.Millisecond
+	scopeDestination = "destination"
+	scopeZone        = "zone"
+	scopeEndpoint    = "endpoint"
+)
 
-// Judge watches one run.
+// Judge observes one run. Its methods are called in the order of model time. A unit is what shares one limit and one
+// state of health: a destination, or one endpoint of it if its kind has routes_apart (receiver.Unit).
 type Judge struct {
-	s          *scenario.Scenario
-	senders    []*record
-	units      map[int]*unitRecord
-	outages    []*unitRecord // all so far
-	unitOf     func(rules.EndpointID) (unit, zone int)
-	Violations []Violation
-	Counts     map[Rule]int
-	due        map[int64][]dueItem
-	swept      int64
-}
-
-type dueItem struct {
-	sender int
-	d      *duty
-}
-
-// record is what the judge knows of one sender's process.
-type record struct {
-	duties  map[rules.MessageID]*duty
-	ended   map[rules.MessageID]time.Duration
-	drained map[rules.EndpointID]time.Duration // told so
-	listed  map[rules.EndpointID]bool
-	waits   map[int]wait
-	keys    map[string][]*duty
-	taken   int
-	down    bool          // its process has ended, and its state is kept
-	grace   time.Duration // after a restart with state: ends due before this are not late
-}
-
-type wait struct{ told, until time.Duration }
-
-type unitRecord struct {
-	begins, ends time.Duration
-	lasts        bool
-	learned      map[int]bool // senders that had seen a call fail or be refused there during the outage
-	margin       float64      // of the worst window since its end
-}
-
-// duty is a message that a sender owes its end.
-type duty struct {
-	m        *model.Message
-	class    *scenario.Class
-	attempts []attempt
-	over     bool
-	rest     time.Duration // of its order key
-	seq      int           // order of taking
-	trail    []note
+	scenario       *scenario.Scenario
+	senders        []*senderState
+	latestOutage   map[int]*outage // by unit
+	outages        []*outage       // all so far
+	unitOf         func(rules.EndpointID) (unit, zone int)
+	Violations     []Violation               // the first maxKeptViolations
+	Counts         map[Rule]int              // number of all violations
+	deadlines      map[int64][]deadlineEntry // by sweep interval
+	sweptIntervals int64                     // number of intervals that Sweep has handled
+}
+
+// deadlineEntry is a message whose final answer must be there when its sweep interval comes.
+type deadlineEntry struct {
+	sender  int
+	message *trackedMessage
+}
+
+// senderState is what was observed of one sender.
+type senderState struct {
+	messages      map[rules.MessageID]*trackedMessage
+	endedAt       map[rules.MessageID]time.Duration  // kept until the sweep after the deadline
+	drainListedAt map[rules.EndpointID]time.Duration // when the sender first received it as draining or gone
+	listed        map[rules.EndpointID]bool
+	retryAfter    map[int]retryAfterSpan       // latest, by unit
+	orderQueues   map[string][]*trackedMessage // by order key, first accepted first
+	accepted      int                          // messages so far
+	down          bool                         // the process has ended and its state is kept
+	graceUntil    time.Duration                // after a restart with state, final answers up to this time are not late
+}
+
+// retryAfterSpan is the time in which a unit asked a sender not to send to it.
+type retryAfterSpan struct{ receivedAt, until time.Duration }
+
+// outage is an outage of one unit and what followed it.
+type outage struct {
+	beganAt, endedAt time.Duration
+	ongoing          bool
+	informed         map[int]bool // senders that saw a call there fail or be refused during the outage
+	margin           float64      // of the worst window since the end, see package margin
+}
+
+// trackedMessage is an accepted message, until it has its final answer and no attempt of it is in flight.
+type trackedMessage struct {
+	message        *model.Message
+	class          *scenario.Class
+	attempts       []attempt
+	finished       bool
+	keyPausedUntil time.Duration // its order key must not be used before, as an attempt may still run
+	seq            int           // order of acceptance
+	trail          []trailEvent
 }
 
 type attempt struct {
@@ -116,151 +140,209 @@
 	outcome  rules.Outcome
 }
 
-type note struct {
-	at      time.Duration
-	what    byte // t taken, c called, o outcome, e end
-	attempt int
-	ep      rules.EndpointID
-	outcome rules.Outcome
-	end     model.End
+// trailEvent is one event of a message, kept for the trail of a violation.
+type trailEvent struct {
+	at       time.Duration
+	kind     trailKind
+	attempt  int
+	endpoint rules.EndpointID
+	outcome  rules.Outcome
+	end      model.End
 }
 
+type trailKind int
+
+const (
+	trailAccepted trailKind = iota
+	trailAttempt
+	trailOutcome
+	trailEnd
+)
+
+// outcomeNames are the names in result files of the rules.Outcome values.
 var outcomeNames = [...]string{"ok", "error", "full", "timed out", "connect failed", "reset", "cancelled", "not sent"}
 
-func (n note) String() string {
-	at := fmt.Sprintf("%.3fs ", n.at.Seconds())
-	switch n.what {
-	case 't':
+func (e trailEvent) String() string {
+	at := fmt.Sprintf("%.3fs ", e.at.Seconds())
+	switch e.kind {
+	case trailAccepted:
 		return at + "taken"
-	case 'c':
-		return fmt.Sprintf("%sattempt %d to endpoint %d", at, n.attempt, n.ep)
-	case 'o':
-		return fmt.Sprintf("%sattempt %d ended: %s", at, n.attempt, outcomeNames[n.outcome])
+	case trailAttempt:
+		return fmt.Sprintf("%sattempt %d to endpoint %d", at, e.attempt, e.endpoint)
+	case trailOutcome:
+		return fmt.Sprintf("%sattempt %d ended: %s", at, e.attempt, outcomeNames[e.outcome])
 	}
-	return at + n.end.String()
+	return at + e.end.String()
 }
 
-// New returns a judge of a scenario; unitOf names the unit and zone of an endpoint.
+// New returns a Judge for one run of a scenario; unitOf returns the unit and the zone of an endpoint.
 func New(s *scenario.Scenario, unitOf func(rules.EndpointID) (unit, zone int)) *Judge {
-	j := &Judge{s: s, unitOf: unitOf, units: map[int]*unitRecord{}, Counts: map[Rule]int{}, due: map[int64][]dueItem{}}
+	j := &Judge{
+		scenario:     s,
+		unitOf:       unitOf,
+		latestOutage: map[int]*outage{},
+		Counts:       map[Rule]int{},
+		deadlines:    map[int64][]deadlineEntry{},
+	}
 	for range s.Senders.Count {
-		j.senders = append(j.senders, newRecord())
+		j.senders = append(j.senders, newSenderState())
 	}
 	return j
 }
 
-func newRecord() *record {
-	return &record{duties: map[rules.MessageID]*duty{}, ended: map[rules.MessageID]time.Duration{},
-		drained: map[rules.EndpointID]time.Duration{}, listed: map[rules.EndpointID]bool{}, waits: map[int]wait{},
-		keys: map[string][]*duty{}}
+func newSenderState() *senderState {
+	return &senderState{
+		messages:      map[rules.MessageID]*trackedMessage{},
+		endedAt:       map[rules.MessageID]time.Duration{},
+		drainListedAt: map[rules.EndpointID]time.Duration{},
+		listed:        map[rules.EndpointID]bool{},
+		retryAfter:    map[int]retryAfterSpan{},
+		orderQueues:   map[string][]*trackedMessage{},
+	}
 }
 
-func (j *Judge) breakRule(r Rule, at time.Duration, sender int, d *duty, trail []string, format string, args ...any) {
-	j.Counts[r]++
-	if len(j.Violations) >= keep {
+// addViolation counts a violation and keeps it in full while there is room. msg is nil if the violation concerns no
+// single message, else its trail is appended to the given one.
+func (j *Judge) addViolation(
+	rule Rule, at time.Duration, sender int, msg *trackedMessage, trail []string, format string, args ...any,
+) {
+	j.Counts[rule]++
+	if len(j.Violations) >= maxKeptViolations {
 		return
 	}
-	b := Violation{Rule: r, At: at, Sender: sender, Text: fmt.Sprintf(format, args...), Trail: trail}
-	if d != nil {
-		b.Message = d.m.ID
-		for _, n := range d.trail {
-			b.Trail = append(b.Trail, n.String())
+	v := Violation{Rule: rule, At: at, Sender: sender, Text: fmt.Sprintf(format, args...), Trail: trail}
+	if msg != nil {
+		v.Message = msg.message.ID
+		for _, e := range msg.trail {
+			v.Trail = append(v.Trail, e.String())
 		}
 	}
-	j.Violations = append(j.Violations, b)
+	j.Violations = append(j.Violations, v)
 }
 
-// Taken tells that a sender has taken a message on.
+// MessageAccepted records that a sender accepted a message and now has to give it a final answer.
 func (j *Judge) MessageAccepted(now time.Duration, sender int, m *model.Message) {
-	r := j.senders[sender]
-	d := &duty{m: m, class: &j.s.Classes[m.Class], trail: []note{{at: now, what: 't'}}}
-	r.taken++
-	d.seq = r.taken
-	r.duties[m.ID] = d
-	if d.class.KeepOrder && m.Key != "" {
-		r.keys[m.Key] = append(r.keys[m.Key], d)
+	state := j.senders[sender]
+	msg := &trackedMessage{
+		message: m,
+		class:   &j.scenario.Classes[m.Class],
+		trail:   []trailEvent{{at: now, kind: trailAccepted}},
+	}
+	state.accepted++
+	msg.seq = state.accepted
+	state.messages[m.ID] = msg
+	if msg.class.KeepOrder && m.Key != "" {
+		state.orderQueues[m.Key] = append(state.orderQueues[m.Key], msg)
 	}
-	at := int64((m.Deadline+j.s.Rules.AnswerGrace.D())/sweepStep) + 1
-	j.due[at] = append(j.due[at], dueItem{sender, d})
+	interval := int64((m.Deadline+j.scenario.Rules.AnswerGrace.D())/sweepInterval) + 1
+	j.deadlines[interval] = append(j.deadlines[interval], deadlineEntry{sender, msg})
 }
 
-// Called tells that a sender makes an attempt.
+// AttemptStarted records that a sender starts an attempt, and checks the rules on when and where it may.
 func (j *Judge) AttemptStarted(now time.Duration, sender int, id rules.MessageID, num int, ep rules.EndpointID) {
-	r := j.senders[sender]
+	state := j.senders[sender]
 	unit, zone := j.unitOf(ep)
-	d := r.duties[id]
-	if d == nil {
-		j.breakRule(LostMessage, now, sender, &duty{m: &model.Message{ID: id}}, nil, "sent to endpoint %d, though it has ended or was never taken", ep)
+	msg := state.messages[id]
+	if msg == nil {
+		unknown := &trackedMessage{message: &model.Message{ID: id}}
+		j.addViolation(LostMessage, now, sender, unknown, nil,
+			"sent to endpoint %d, though it has ended or was never taken", ep)
 		return
 	}
-	j.checkRepeat(now, sender, d, ep, zone)
-	j.checkList(now, sender, r, d, ep)
-	if w, told := r.waits[unit]; told && now > w.told && now < w.until {
-		j.breakRule(RetryAfterIgnored, now, sender, d, nil, "sent to endpoint %d, which asked at %.3fs for a wait until %.3fs", ep, w.told.Seconds(), w.until.Seconds())
+	j.checkRepeat(now, sender, msg, ep, zone)
+	j.checkDrain(now, sender, state, msg, ep)
+	if w, received := state.retryAfter[unit]; received && now > w.receivedAt && now < w.until {
+		j.addViolation(RetryAfterIgnored, now, sender, msg, nil,
+			"sent to endpoint %d, which asked at %.3fs for a wait until %.3fs", ep, w.receivedAt.Seconds(), w.until.Seconds())
 	}
-	j.checkOrder(now, sender, r, d)
-	d.attempts = append(d.attempts, attempt{at: now, endpoint: ep, unit: unit, zone: zone})
-	d.trail = append(d.trail, note{at: now, what: 'c', attempt: num, ep: ep})
+	j.checkOrder(now, sender, state, msg)
+	msg.attempts = append(msg.attempts, attempt{at: now, endpoint: ep, unit: unit, zone: zone})
+	msg.trail = append(msg.trail, trailEvent{at: now, kind: trailAttempt, attempt: num, endpoint: ep})
 }
 
-// mayHaveRun tells whether an attempt is not known never to have run.
+// mayHaveRun reports whether the attempt may have taken effect: it is in flight, or its outcome does not exclude it.
 func (a *attempt) mayHaveRun() bool {
-	return !a.done || a.outcome != rules.Refused && a.outcome != rules.ConnectError && a.outcome != rules.NotSent
+	if !a.done {
+		return true
+	}
+	return a.outcome != rules.Refused && a.outcome != rules.ConnectError && a.outcome != rules.NotSent
 }
 
-func (d *duty) firstThatMayHaveRun() *attempt {
-	for i := range d.attempts {
-		if d.attempts[i].mayHaveRun() {
-			return &d.attempts[i]
+// inFlight reports whether an attempt of the message has no outcome yet.
+func (msg *trackedMessage) inFlight() bool {
+	return slices.ContainsFunc(msg.attempts, func(a attempt) bool { return !a.done })
+}
+
+// firstThatMayHaveRun returns the earliest attempt that may have taken effect, or nil.
+func (msg *trackedMessage) firstThatMayHaveRun() *attempt {
+	for i := range msg.attempts {
+		if msg.attempts[i].mayHaveRun() {
+			return &msg.attempts[i]
 		}
 	}
 	return nil
 }
 
-// checkRepeat holds rule 2 for an attempt.
-func (j *Judge) checkRepeat(now time.Duration, sender int, d *duty, ep rules.EndpointID, zone int) {
-	first := d.firstThatMayHaveRun()
-	if first == nil || d.class.Effect == "safe" {
+// checkRepeat checks DoubleEffect for an attempt: a message that may have run may be sent again only if its class is
+// safe, or keyed and the endpoint still remembers the key.
+func (j *Judge) checkRepeat(now time.Duration, sender int, msg *trackedMessage, ep rules.EndpointID, zone int) {
+	first := msg.firstThatMayHaveRun()
+	if first == nil || msg.class.Effect == effectSafe {
 		return
 	}
-	if d.class.Effect == "once" {
-		j.breakRule(DoubleEffect, now, sender, d, nil, "sent again to endpoint %d, though an attempt of %.3fs may have run", ep, first.at.Seconds())
+	if msg.class.Effect == effectOnce {
+		j.addViolation(DoubleEffect, now, sender, msg, nil,
+			"sent again to endpoint %d, though an attempt of %.3fs may have run", ep, first.at.Seconds())
 		return
 	}
-	if now-first.at > d.class.Window.D() {
-		j.breakRule(DoubleEffect, now, sender, d, nil, "sent again %v after an attempt that may have run; its key is remembered for %v", now-first.at, d.class.Window.D())
-	} else if d.class.Scope == "zone" && zone != first.zone || d.class.Scope == "endpoint" && ep != first.endpoint {
-		j.breakRule(DoubleEffect, now, sender, d, nil, "sent again to endpoint %d, outside the %s that remembers its key", ep, d.class.Scope)
+	if now-first.at > msg.class.Window.D() {
+		j.addViolation(DoubleEffect, now, sender, msg, nil,
+			"sent again %v after an attempt that may have run; its key is remembered for %v",
+			now-first.at, msg.class.Window.D())
+		return
+	}
+	otherZone := msg.class.Scope == scopeZone && zone != first.zone
+	otherEndpoint := msg.class.Scope == scopeEndpoint && ep != first.endpoint
+	if otherZone || otherEndpoint {
+		j.addViolation(DoubleEffect, now, sender, msg, nil,
+			"sent again to endpoint %d, outside the %s that remembers its key", ep, msg.class.Scope)
 	}
 }
 
-// checkList holds rule 3.
-func (j *Judge) checkList(now time.Duration, sender int, r *record, d *duty, ep rules.EndpointID) {
-	if told, drained := r.drained[ep]; drained && now > told+j.s.Rules.DrainGrace.D() {
-		j.breakRule(DrainIgnored, now, sender, d, nil, "sent to endpoint %d %v after the sender was told that it drains or is gone", ep, now-told)
-	} else if !drained && !r.listed[ep] {
-		j.breakRule(DrainIgnored, now, sender, d, nil, "sent to endpoint %d, which no list has named", ep)
+// checkDrain checks DrainIgnored for an attempt.
+func (j *Judge) checkDrain(
+	now time.Duration, sender int, state *senderState, msg *trackedMessage, ep rules.EndpointID,
+) {
+	listedAt, drained := state.drainListedAt[ep]
+	switch {
+	case drained && now > listedAt+j.scenario.Rules.DrainGrace.D():
+		j.addViolation(DrainIgnored, now, sender, msg, nil,
+			"sent to endpoint %d %v after the sender was told that it drains or is gone", ep, now-listedAt)
+	case !drained && !state.listed[ep]:
+		j.addViolation(DrainIgnored, now, sender, msg, nil, "sent to endpoint %d, which no list has named", ep)
 	}
 }
 
-// checkOrder holds rule 5 for an attempt.
-func (j *Judge) checkOrder(now time.Duration, sender int, r *record, d *duty) {
-	if !d.class.KeepOrder || d.m.Key == "" {
+// checkOrder checks OutOfOrder for an attempt.
+func (j *Judge) checkOrder(now time.Duration, sender int, state *senderState, msg *trackedMessage) {
+	if !msg.class.KeepOrder || msg.message.Key == "" {
 		return
 	}
-	queue := r.keys[d.m.Key]
+	queue := state.orderQueues[msg.message.Key]
 	for _, earlier := range queue {
-		if earlier == d {
+		if earlier == msg {
 			break
 		}
-		out := slices.ContainsFunc(earlier.attempts, func(a attempt) bool { return !a.done })
 		switch {
-		case !earlier.over:
-			j.breakRule(OutOfOrder, now, sender, d, nil, "sent while message %s of the same key, taken before it, is not over", earlier.m.ID)
-		case out:
-			j.breakRule(OutOfOrder, now, sender, d, nil, "sent while an attempt of message %s of the same key is out", earlier.m.ID)
-		case now < earlier.rest:
-			j.breakRule(OutOfOrder, now, sender, d, nil, "sent at once after an attempt of message %s that may still run", earlier.m.ID)
+		case !earlier.finished:
+			j.addViolation(OutOfOrder, now, sender, msg, nil,
+				"sent while message %s of the same key, taken before it, is not over", earlier.message.ID)
+		case earlier.inFlight():
+			j.addViolation(OutOfOrder, now, sender, msg, nil,
+				"sent while an attempt of message %s of the same key is out", earlier.message.ID)
+		case now < earlier.keyPausedUntil:
+			j.addViolation(OutOfOrder, now, sender, msg, nil,
+				"sent at once after an attempt of message %s that may still run", earlier.message.ID)
 		default:
 			continue
 		}
@@ -268,191 +350,204 @@
 	}
 }
 
-// dropFromKey forgets messages of a key that can hold nobody up any more.
-func (r *record) dropFromKey(now time.Duration, key string) {
-	queue := r.keys[key]
-	for len(queue) > 0 && queue[0].over && now >= queue[0].rest &&
-		!slices.ContainsFunc(queue[0].attempts, func(a attempt) bool { return !a.done }) {
+// trimOrderQueue removes the messages at the head of an order queue that no longer delay those behind them.
+func (state *senderState) trimOrderQueue(now time.Duration, key string) {
+	queue := state.orderQueues[key]
+	for len(queue) > 0 && queue[0].finished && now >= queue[0].keyPausedUntil && !queue[0].inFlight() {
 		queue = queue[1:]
 	}
 	if len(queue) == 0 {
-		delete(r.keys, key)
+		delete(state.orderQueues, key)
 		return
 	}
-	r.keys[key] = queue
+	state.orderQueues[key] = queue
 }
 
-// Told tells that a sender has heard how an attempt ended.
-func (j *Judge) AttemptEnded(now time.Duration, sender int, id rules.MessageID, num int, ep rules.EndpointID, o rules.Outcome, w time.Duration) {
-	r := j.senders[sender]
+// AttemptEnded records that a sender learned the outcome of an attempt, and the retry-after that came with it, if any.
+func (j *Judge) AttemptEnded(
+	now time.Duration, sender int, id rules.MessageID, num int, ep rules.EndpointID,
+	o rules.Outcome, retryAfter time.Duration,
+) {
+	state := j.senders[sender]
 	unit, _ := j.unitOf(ep)
 	sent := now
-	if d := r.duties[id]; d != nil {
-		for i := range d.attempts {
-			if a := &d.attempts[i]; i == num && !a.done {
+	if msg := state.messages[id]; msg != nil {
+		for i := range msg.attempts {
+			if a := &msg.attempts[i]; i == num && !a.done {
 				a.done, a.outcome, sent = true, o, a.at
 			}
 		}
 		if o == rules.TimedOut || o == rules.Reset || o == rules.Cancelled {
-			d.rest = now + j.s.Rules.OrderPause.D()
+			msg.keyPausedUntil = now + j.scenario.Rules.OrderPause.D()
 		}
-		d.trail = append(d.trail, note{at: now, what: 'o', attempt: num, ep: ep, outcome: o})
-		if d.over {
-			j.settle(now, r, d)
+		msg.trail = append(msg.trail, trailEvent{at: now, kind: trailOutcome, attempt: num, endpoint: ep, outcome: o})
+		if msg.finished {
+			j.forgetSettled(now, state, msg)
 		}
 	}
-	if o == rules.Refused && w > 0 {
-		if old := r.waits[unit]; now+w > old.until {
-			r.waits[unit] = wait{told: now, until: now + w}
+	if o == rules.Refused && retryAfter > 0 {
+		if old := state.retryAfter[unit]; now+retryAfter > old.until {
+			state.retryAfter[unit] = retryAfterSpan{receivedAt: now, until: now + retryAfter}
 		}
 	}
 	if o != rules.OK && o != rules.NotSent {
-		if u := j.units[unit]; u != nil && (u.lasts || sent <= u.ends) {
-			u.learned[sender] = true
+		if latest := j.latestOutage[unit]; latest != nil && (latest.ongoing || sent <= latest.endedAt) {
+			latest.informed[sender] = true
 		}
 	}
 }
 
-// Ended tells that a sender ended a message, or that it was served.
+// MessageEnded records that a sender gave a message its final answer, or that it was delivered.
 func (j *Judge) MessageEnded(now time.Duration, sender int, id rules.MessageID, end model.End) {
-	r := j.senders[sender]
-	d := r.duties[id]
-	if d == nil || d.over {
-		if at, before := r.ended[id]; before && end != model.Served && at < now {
-			j.breakRule(LostMessage, now, sender, &duty{m: &model.Message{ID: id}},
+	state := j.senders[sender]
+	msg := state.messages[id]
+	if msg == nil || msg.finished {
+		if at, ended := state.endedAt[id]; ended && end != model.Served && at < now {
+			j.addViolation(LostMessage, now, sender, &trackedMessage{message: &model.Message{ID: id}},
 				[]string{fmt.Sprintf("%.3fs it ended", at.Seconds()), fmt.Sprintf("%.3fs %v", now.Seconds(), end)},
 				"%v, though it had ended at %.3fs", end, at.Seconds())
 		}
 		return
 	}
-	d.trail = append(d.trail, note{at: now, what: 'e', end: end})
-	if late := now - max(d.m.Deadline+j.s.Rules.AnswerGrace.D(), r.grace); late > 0 && end != model.Withdrawn {
-		j.breakRule(LostMessage, now, sender, d, nil, "%v %v after its time was up", end, late)
+	msg.trail = append(msg.trail, trailEvent{at: now, kind: trailEnd, end: end})
+	due := max(msg.message.Deadline+j.scenario.Rules.AnswerGrace.D(), state.graceUntil)
+	if late := now - due; late > 0 && end != model.Withdrawn {
+		j.addViolation(LostMessage, now, sender, msg, nil, "%v %v after its time was up", end, late)
 	}
 	if end == model.Refused {
-		j.checkRefusal(now, sender, d)
+		j.checkRefusal(now, sender, msg)
 	}
-	d.over = true
-	r.ended[id] = now
-	j.settle(now, r, d)
+	msg.finished = true
+	state.endedAt[id] = now
+	j.forgetSettled(now, state, msg)
 }
 
-// checkRefusal holds rule 2 for a refusal, which promises that coming again is harmless.
-func (j *Judge) checkRefusal(now time.Duration, sender int, d *duty) {
-	first := d.firstThatMayHaveRun()
-	if first == nil || d.class.Effect == "safe" || d.class.Effect == "keyed" && d.class.Scope == "destination" {
+// checkRefusal checks DoubleEffect for a refusal, which promises that a repeat of the message is harmless.
+func (j *Judge) checkRefusal(now time.Duration, sender int, msg *trackedMessage) {
+	first := msg.firstThatMayHaveRun()
+	deduplicated := msg.class.Effect == effectKeyed && msg.class.Scope == scopeDestination
+	if first == nil || msg.class.Effect == effectSafe || deduplicated {
 		return
 	}
-	j.breakRule(DoubleEffect, now, sender, d, nil, "refused, though an attempt of %.3fs may have run", first.at.Seconds())
+	j.addViolation(DoubleEffect, now, sender, msg, nil,
+		"refused, though an attempt of %.3fs may have run", first.at.Seconds())
 }
 
-// settle forgets a message that is over once no attempt of it is out.
-func (j *Judge) settle(now time.Duration, r *record, d *duty) {
-	if slices.ContainsFunc(d.attempts, func(a attempt) bool { return !a.done }) {
+// forgetSettled forgets a finished message, unless an attempt of it is in flight.
+func (j *Judge) forgetSettled(now time.Duration, state *senderState, msg *trackedMessage) {
+	if msg.inFlight() {
 		return
 	}
-	delete(r.duties, d.m.ID)
-	if d.class.KeepOrder && d.m.Key != "" {
-		r.dropFromKey(now, d.m.Key)
+	delete(state.messages, msg.message.ID)
+	if msg.class.KeepOrder && msg.message.Key != "" {
+		state.trimOrderQueue(now, msg.message.Key)
 	}
 }
 
-// Listed tells what a sender has heard of the list.
+// ListReceived records an update of the endpoint list that a sender received.
 func (j *Judge) ListReceived(now time.Duration, sender int, e rules.ListUpdate) {
-	r := j.senders[sender]
+	state := j.senders[sender]
 	named := map[rules.EndpointID]bool{}
 	for _, entry := range e.Entries {
 		named[entry.Endpoint] = true
 		if entry.Draining || entry.Gone {
-			if _, told := r.drained[entry.Endpoint]; !told {
-				r.drained[entry.Endpoint] = now
+			if _, known := state.drainListedAt[entry.Endpoint]; !known {
+				state.drainListedAt[entry.Endpoint] = now
 			}
 			continue
 		}
-		r.listed[entry.Endpoint] = true
-		delete(r.drained, entry.Endpoint)
+		state.listed[entry.Endpoint] = true
+		delete(state.drainListedAt, entry.Endpoint)
 	}
 	if !e.Whole {
 		return
 	}
-	for ep := range r.listed {
+	for ep := range state.listed {
 		if !named[ep] {
-			if _, told := r.drained[ep]; !told {
-				r.drained[ep] = now
+			if _, known := state.drainListedAt[ep]; !known {
+				state.drainListedAt[ep] = now
 			}
 		}
 	}
 }
 
-// Stopped tells that a sender's process ended. What it held is its duty no more, unless its state outlasts it.
+// SenderStopped records that a sender's process ended. If its state was not kept, it no longer has to answer the
+// messages that it held.
 func (j *Judge) SenderStopped(sender int, kept bool) {
-	r := j.senders[sender]
+	state := j.senders[sender]
 	if !kept {
-		for _, d := range r.duties {
-			d.over = true
+		for _, msg := range state.messages {
+			msg.finished = true
 		}
-		j.senders[sender] = newRecord()
+		j.senders[sender] = newSenderState()
 		return
 	}
-	for _, d := range r.duties { // what was out when the process ended may have run, and nobody will hear of it
-		for i := range d.attempts {
-			if !d.attempts[i].done {
-				d.attempts[i].done, d.attempts[i].outcome = true, rules.Reset
+	// Attempts in flight when the process ended may have run, and their outcomes are lost.
+	for _, msg := range state.messages {
+		for i := range msg.attempts {
+			if !msg.attempts[i].done {
+				msg.attempts[i].done, msg.attempts[i].outcome = true, rules.Reset
 			}
 		}
-		if d.over {
-			delete(r.duties, d.m.ID)
+		if msg.finished {
+			delete(state.messages, msg.message.ID)
 		}
 	}
-	r.drained, r.listed = map[rules.EndpointID]time.Duration{}, map[rules.EndpointID]bool{}
-	r.waits, r.keys = map[int]wait{}, map[string][]*duty{}
-	r.down = true
-	var owed []*duty // the next process takes them anew, in the order in which this one had
-	for _, d := range r.duties {
-		if d.class.KeepOrder && d.m.Key != "" {
-			owed = append(owed, d)
+	state.drainListedAt = map[rules.EndpointID]time.Duration{}
+	state.listed = map[rules.EndpointID]bool{}
+	state.retryAfter = map[int]retryAfterSpan{}
+	state.orderQueues = map[string][]*trackedMessage{}
+	state.down = true
+	// The next process restores the messages in the order in which this one accepted them.
+	var unfinished []*trackedMessage
+	for _, msg := range state.messages {
+		if msg.class.KeepOrder && msg.message.Key != "" {
+			unfinished = append(unfinished, msg)
 		}
 	}
-	slices.SortFunc(owed, func(a, b *duty) int { return cmp.Compare(a.seq, b.seq) })
-	for _, d := range owed {
-		r.keys[d.m.Key] = append(r.keys[d.m.Key], d)
+	slices.SortFunc(unfinished, func(a, b *trackedMessage) int { return cmp.Compare(a.seq, b.seq) })
+	for _, msg := range unfinished {
+		state.orderQueues[msg.message.Key] = append(state.orderQueues[msg.message.Key], msg)
 	}
 }
 
-// Started tells that a sender's process is back.
+// SenderStarted records that a sender's process runs again.
 func (j *Judge) SenderStarted(now time.Duration, sender int) {
-	j.senders[sender].down = false
-	j.senders[sender].grace = now + j.s.Rules.RestartGrace.D()
+	state := j.senders[sender]
+	state.down = false
+	state.graceUntil = now + j.scenario.Rules.RestartGrace.D()
 }
 
-// Sweep looks for messages whose time is up and that have no end.
+// Sweep looks for messages that are past their deadline without a final answer.
 func (j *Judge) Sweep(now time.Duration) {
-	for limit := int64(now / sweepStep); j.swept < limit; j.swept++ {
-		for _, item := range j.due[j.swept] {
-			r := j.senders[item.sender]
-			if item.d.over {
-				delete(r.ended, item.d.m.ID)
+	for limit := int64(now / sweepInterval); j.sweptIntervals < limit; j.sweptIntervals++ {
+		for _, item := range j.deadlines[j.sweptIntervals] {
+			state, msg := j.senders[item.sender], item.message
+			id, deadline := msg.message.ID, msg.message.Deadline
+			if msg.finished {
+				delete(state.endedAt, id)
 				continue
 			}
-			if r.down || r.grace >= now && r.grace > item.d.m.Deadline {
-				at := max(int64(r.grace/sweepStep), int64(now/sweepStep)) + 1
-				j.due[at] = append(j.due[at], item)
+			if state.down || state.graceUntil >= now && state.graceUntil > deadline {
+				interval := max(int64(state.graceUntil/sweepInterval), int64(now/sweepInterval)) + 1
+				j.deadlines[interval] = append(j.deadlines[interval], item)
 				continue
 			}
-			j.breakRule(LostMessage, now, item.sender, item.d, nil, "its time was up at %.3fs and it has no end", item.d.m.Deadline.Seconds())
-			item.d.over = true
-			delete(r.duties, item.d.m.ID)
+			j.addViolation(LostMessage, now, item.sender, msg, nil,
+				"its time was up at %.3fs and it has no end", deadline.Seconds())
+			msg.finished = true
+			delete(state.messages, id)
 		}
-		delete(j.due, j.swept)
+		delete(j.deadlines, j.sweptIntervals)
 	}
 }
 
-// Owed is how many messages are owed an end.
+// Unfinished returns the number of messages without a final answer.
 func (j *Judge) Unfinished() int {
 	n := 0
-	for _, items := range j.due {
+	for _, items := range j.deadlines {
 		for _, item := range items {
-			if !item.d.over {
+			if !item.message.finished {
 				n++
 			}
 		}
@@ -460,56 +555,64 @@
 	return n
 }
 
-// Outage tells that an outage of a unit began or ended.
+// Outage records that an outage of a unit began or ended.
 func (j *Judge) Outage(now time.Duration, unit int, begins bool) {
 	if begins {
-		j.units[unit] = &unitRecord{begins: now, lasts: true, learned: map[int]bool{}}
-		j.outages = append(j.outages, j.units[unit])
-	} else if u := j.units[unit]; u != nil {
-		u.lasts, u.ends = false, now
+		j.latestOutage[unit] = &outage{beganAt: now, ongoing: true, informed: map[int]bool{}}
+		j.outages = append(j.outages, j.latestOutage[unit])
+	} else if latest := j.latestOutage[unit]; latest != nil {
+		latest.ongoing, latest.endedAt = false, now
 	}
 }
 
-// Weighed tells of a window of calls that a unit was sent since its return, and above how many it falls over.
+// WindowMeasured records the calls in a time window that a recovering unit was sent, and the number of calls above
+// which it is overloaded.
 func (j *Judge) WindowMeasured(unit int, window []receiver.Arrival, allowed float64) {
-	if u := j.units[unit]; u != nil {
-		u.margin = max(u.margin, margin.Of(window, allowed, func(sender int) bool { return u.learned[sender] }))
+	if latest := j.latestOutage[unit]; latest != nil {
+		isInformed := func(sender int) bool { return latest.informed[sender] }
+		latest.margin = max(latest.margin, margin.Of(window, allowed, isInformed))
 	}
 }
 
-// Margins returns the margin of the worst window of each return so far.
+// Margins returns, for each outage that has ended, the margin of the worst window since.
 func (j *Judge) Margins() (margins []float64) {
-	for _, u := range j.outages {
-		if !u.lasts {
-			margins = append(margins, u.margin)
+	for _, o := range j.outages {
+		if !o.ongoing {
+			margins = append(margins, o.margin)
 		}
 	}
 	return margins
 }
 
-// Fell tells that a cold unit was sent too much; by holds what each sender sent in the span.
-func (j *Judge) UnitOverloaded(now time.Duration, unit int, by map[int]float64) {
-	u := j.units[unit]
-	if u == nil {
+// UnitOverloaded records that a recovering unit was overloaded; sent holds the calls of each sender in the window. It
+// is a violation if enough of them came from informed senders.
+func (j *Judge) UnitOverloaded(now time.Duration, unit int, sent map[int]float64) {
+	latest := j.latestOutage[unit]
+	if latest == nil {
 		return
 	}
-	var all, knowing float64
+	var all, fromInformed float64
 	var senders []int
-	for s, w := range by {
-		all += w
+	for s, calls := range sent {
+		all += calls
 		senders = append(senders, s)
-		if u.learned[s] {
-			knowing += w
+		if latest.informed[s] {
+			fromInformed += calls
 		}
 	}
-	if knowing < all*margin.InformedShare {
+	if fromInformed < all*margin.InformedShare {
 		return
 	}
-	slices.SortFunc(senders, func(a, b int) int { return cmp.Or(cmp.Compare(by[b], by[a]), cmp.Compare(a, b)) })
-	trail := []string{fmt.Sprintf("%.3fs outage of unit %d began", u.begins.Seconds(), unit), fmt.Sprintf("%.3fs it ended", u.ends.Seconds())}
-	for _, s := range senders[:min(len(senders), 8)] {
-		trail = append(trail, fmt.Sprintf("sender %d sent %.1f, had seen the outage: %v", s, by[s], u.learned[s]))
+	slices.SortFunc(senders, func(a, b int) int { return cmp.Or(cmp.Compare(sent[b], sent[a]), cmp.Compare(a, b)) })
+	trail := []string{
+		fmt.Sprintf("%.3fs outage of unit %d began", latest.beganAt.Seconds(), unit),
+		fmt.Sprintf("%.3fs it ended", latest.endedAt.Seconds()),
+	}
+	for _, s := range senders[:min(len(senders), maxListedSenders)] {
+		trail = append(trail, fmt.Sprintf("sender %d sent %.1f, had seen the outage: %v", s, sent[s], latest.informed[s]))
 	}
-	j.breakRule(RecoveryOverload, now, senders[0], nil, trail, "unit %d, back %v ago, was sent %.1f calls within the span and fell over; %.0f%% came from senders that had seen its outage",
-		unit, now-u.ends, all, 100*knowing/all)
+	j.addViolation(RecoveryOverload, now, senders[0], nil, trail,
+		"unit %d, back %v ago, was sent %.1f calls within the span and fell over; "+
+			"%.0f%% came from senders that had seen its outage",
+		unit, now-latest.endedAt, all, 100*fromInformed/all)
 }
--- a/lab/margin/margin.go
+++ b/lab/margin/margin.go
@@ -1,6 +1,9 @@
-// Package margin owns how near cold returns come to breaking the rule on returning destinations (rule 4): for each return, the
-// worst window's calls of informed senders over the number of them that breaks the rule. A distribution of margins tells a
-// loosened bound long before any rule is broken. It must never know how a sender decides.
+// Package margin measures how close destinations that recover from an outage come to a violation of rule 4 (overload
+// during recovery). The margin of one recovery is the number of calls from informed senders in its worst time window,
+// divided by the number that violates the rule. A sender is informed if it saw the outage. The distribution of margins
+// shows a loosened limit long before a rule is violated.
+//
+// It must not depend on how a sender decides.
 package margin
 
 import (
@@ -11,14 +14,14 @@
 	"eiderhaven/lab/receiver"
 )
 
-// InformedShare is the part of a fall's calls that breaks the rule when it came from informed senders.
+// InformedShare is the share of the calls in an overload that violates the rule if it came from informed senders.
 const InformedShare = 2.0 / 3
 
-// High is the margin from which a return counts as near to a break.
+// High is the margin above which a recovery counts as close to a violation.
 const High = 0.8
 
-// Of returns the margin of one window: the calls of informed senders in it over the number of them that breaks the rule, where
-// a window of more than allowed calls fells the destination.
+// Of returns the margin of one time window: the calls of informed senders in it over the number that violates the rule.
+// More than allowed calls in a window overload the destination.
 func Of(window []receiver.Arrival, allowed float64, informed func(sender int) bool) float64 {
 	calls := 0.0
 	for _, a := range window {
@@ -29,16 +32,16 @@
 	return calls / (InformedShare * allowed)
 }
 
-// Summary describes the margins of many returns.
+// Summary describes the margins of many recoveries.
 type Summary struct {
 	Returns int     `json:"returns"`
 	Mean    float64 `json:"mean"`
 	P99     float64 `json:"p99"`
 	Max     float64 `json:"max"`
-	High    int     `json:"high"` // returns with a margin above High
+	High    int     `json:"high"` // recoveries with a margin above High
 }
 
-// Summarize describes margins, which it sorts.
+// Summarize returns the summary of margins. It sorts the slice.
 func Summarize(margins []float64) Summary {
 	if len(margins) == 0 {
 		return Summary{}
@@ -56,5 +59,6 @@
 }
 
 func (s Summary) String() string {
-	return fmt.Sprintf("margins of %d returns: mean %.3f, p99 %.3f, max %.3f, %d over %.1f", s.Returns, s.Mean, s.P99, s.Max, s.High, High)
+	return fmt.Sprintf("margins of %d returns: mean %.3f, p99 %.3f, max %.3f, %d over %.1f",
+		s.Returns, s.Mean, s.P99, s.Max, s.High, High)
 }
--- a/lab/margin/margin_test.go
+++ b/lab/margin/margin_test.go
@@ -7,14 +7,14 @@
 	"eiderhaven/lab/receiver"
 )
 
-func TestAMarginOfOneBreaksTheRule(t *testing.T) {
+func TestMarginOneIsTheViolationThreshold(t *testing.T) {
 	window := []receiver.Arrival{{Sender: 1, Weight: 5}, {Sender: 2, Weight: 4}, {Sender: 1, Weight: 3}}
 	if got := Of(window, 12, func(sender int) bool { return sender == 1 }); math.Abs(got-1) > 1e-9 {
 		t.Errorf("8 informed calls where 12 are allowed: %v, want 1", got)
 	}
 }
 
-func TestASummaryTellsTheTail(t *testing.T) {
+func TestSummarizeReportsTheTail(t *testing.T) {
 	var margins []float64
 	for i := range 200 {
 		margins = append(margins, float64(i)/200)
--- a/lab/model/model.go
+++ b/lab/model/model.go
@@ -1,5 +1,6 @@
-// Package model owns the values that pass between the parts of the lab: messages, calls and what becomes of them. It
-// must hold no behaviour, so that parts which never import one another speak the same words.
+// Package model defines the values that the packages of the lab exchange: messages, calls and their outcomes.
+//
+// It must hold no behaviour, so that packages which do not import one another can share its types.
 package model
 
 import (
@@ -8,53 +9,55 @@
 	"eiderhaven/rules"
 )
 
-// Message is one message as a client hands it in. A client's later tries of it are further messages with the same First.
+// Message is one message as a client submits it. When the client submits it again, that is a further Message with the
+// same FirstTry.
 type Message struct {
 	ID             rules.MessageID
-	FirstTry       int // number of the first try
+	FirstTry       int // number of the first try, counted over the run
 	Try            int // 0 for the first try
 	Dest           int
 	Class          int
 	Tenant         int
 	Key            string        // order key, empty for none
-	FirstSubmitted time.Duration // of the first try
-	Deadline       time.Duration // model time at which it is worth nothing more
-	MayHaveRun     bool          // an earlier sender that died may have had it run
+	FirstSubmitted time.Duration // model time of the first try
+	Deadline       time.Duration // model time after which delivery is worth nothing
+	MayHaveRun     bool          // an attempt of an earlier sender, which has died, may have taken effect
 }
 
-// Call is what travels to an endpoint at once.
+// Call is one request to an endpoint. It carries one or more messages.
 type Call struct {
 	Sender    int
 	Messages  []*Message
-	Attempts  []int // of each message, from 0
-	Sent      time.Duration
-	Abandoned bool // the sender called it off, or died: nobody hears the answer
-	// Done is told the outcome at the moment when the receiver has it; the way back is still to come.
+	Attempts  []int         // attempt number of each message, from 0
+	Sent      time.Duration // model time
+	Abandoned bool          // the sender cancelled it or died, so that nobody receives the answer
+
+	// Done is called with the outcome when the receiver has it; the network delay to the sender comes on top.
 	Done func(Outcome)
 }
 
-// Outcome is how an endpoint ended a call.
+// Outcome is the result of a call and what the answer carried.
 type Outcome struct {
 	Result                 rules.Outcome
 	RetryAfter             time.Duration
-	ConnectionLimitReached bool // with a failed connect: the endpoint holds all the connections it can
+	ConnectionLimitReached bool // the reason for a failed connect
 	Report                 rules.Report
 
-	Recalled bool // with not sent: by the sender
-	NoAnswer bool // it was served, and no answer will come
+	Recalled bool // the sender withdrew it before it was sent
+	NoAnswer bool // it was served, but the answer is lost
 }
 
-// End is how a message ended at a sender.
+// End is how a message ended at a sender. Its name is part of result files.
 type End int
 
-// The ends.
+// The possible ends.
 const (
 	Served         End = iota // delivered, in time
-	Refused                   // by the sender; coming again is harmless
-	Failed                    // by the sender, without a promise
-	Withdrawn                 // nobody wants it any more
-	TurnedAway                // no room: never taken
-	LostWithSender            // its sender died without its state
+	Refused                   // by the sender; submitting it again is harmless
+	Failed                    // by the sender; an attempt may have taken effect
+	Withdrawn                 // the client no longer wants it
+	TurnedAway                // never accepted, for lack of room
+	LostWithSender            // its sender died and its state was not kept
 )
 
 func (e End) String() string {
--- a/lab/tally/tally.go
+++ b/lab/tally/tally.go
@@ -1,5 +1,7 @@
-// Package tally owns the figures of a run: what was asked for and earned, calls and their outcomes, latencies, and the same
-// over time. It must never look into a policy, and holds no wall-clock time: the same run gives the same bytes.
+// Package tally collects the statistics of a run: messages submitted and the worth earned with them, calls and their
+// outcomes, latencies, and the same as time series.
+//
+// It must never inspect a policy or read the wall clock: the same run gives the same bytes.
 package tally
 
 import (
@@ -15,86 +17,87 @@
 	"eiderhaven/rules"
 )
 
-// Window is one step of the series over time. Counts are of that step; latencies are of messages served in it.
+// Window is one window of the time series. Counts are of events in the window; latencies are of messages served in it.
 type Window struct {
 	At               float64 `json:"at_s"`
-	Submitted        int     `json:"asked"`
+	Submitted        int     `json:"asked"` // first tries
 	Served           int     `json:"served"`
 	Refused          int     `json:"refused"` // by senders
 	Failed           int     `json:"failed"`
 	TurnedAway       int     `json:"turned_away"`
 	Calls            int     `json:"calls"`
-	RefusedByLimit   int     `json:"limited"` // calls turned away by a limit
-	RefusedOtherwise int     `json:"full"`    // calls turned away otherwise
+	RefusedByLimit   int     `json:"limited"` // calls refused because of the receiver's limit
+	RefusedOtherwise int     `json:"full"`    // calls refused for another reason, such as a full queue
 	Errors           int     `json:"errors"`  // errors, resets, failed connects
 	TimedOut         int     `json:"timed_out"`
-	Held             float64 `json:"held"` // by all senders, the mean over the step
+	Held             float64 `json:"held"` // messages held by all senders, mean over the window
 	P50              float64 `json:"p50_ms"`
 	P99              float64 `json:"p99_ms"`
-	looked           int     // at what is held
+	heldSamples      int     // samples in Held
 }
 
-// Lane is one of the busiest destinations over time: what it was sent, and what it took.
+// DestinationSeries is the time series of one of the busiest destinations. Calls and Refusals have a value for each
+// window.
 type DestinationSeries struct {
 	Dest     int     `json:"destination"`
-	Capacity float64 `json:"rate"` // calls a second that it takes at its best
+	Capacity float64 `json:"rate"` // calls a second at full capacity
 	Calls    []int   `json:"calls"`
 	Refusals []int   `json:"refusals"`
 }
 
-// Result is what a run came to.
+// Result holds the statistics of a run, as result files have them.
 type Result struct {
 	Scenario string `json:"scenario"`
 	Policy   string `json:"policy"`
 	Seed     uint64 `json:"seed"`
 
-	G          float64 `json:"g"`           // the figure of the day, by the scenario's goal
-	Whole      float64 `json:"whole"`       // worth earned over worth asked for
-	Worst      float64 `json:"worst"`       // the same in the worst ten seconds
-	WorstClass float64 `json:"worst_class"` // the same of the worst-served class
+	G          float64 `json:"g"`           // overall score, weighted by the scenario's goal
+	Whole      float64 `json:"whole"`       // worth earned over worth submitted
+	Worst      float64 `json:"worst"`       // the same for the worst ten seconds
+	WorstClass float64 `json:"worst_class"` // the same for the worst-served class
 
 	Submitted   int `json:"asked"` // first tries
 	Served      int `json:"served"`
 	InAim       int `json:"in_aim"`
-	Refused     int `json:"refused"` // answers by senders, later tries counted
+	Refused     int `json:"refused"` // by senders, later tries included
 	Failed      int `json:"failed"`
-	TurnedAway  int `json:"turned_away"` // no room
-	Resubmitted int `json:"again"`       // later tries handed in
+	TurnedAway  int `json:"turned_away"` // by senders without room
+	Resubmitted int `json:"again"`       // later tries submitted
 
 	Calls             int `json:"calls"`
 	Attempts          int `json:"attempts"`
 	ConnectionsOpened int `json:"connections_opened"`
-	RefusedByLimit    int `json:"calls_limited"`
-	RefusedOtherwise  int `json:"calls_full"`
+	RefusedByLimit    int `json:"calls_limited"` // as Window.RefusedByLimit
+	RefusedOtherwise  int `json:"calls_full"`    // as Window.RefusedOtherwise
 	Errors            int `json:"errors"`
 	Resets            int `json:"resets"`
 	ConnectsFailed    int `json:"connects_failed"`
 	TimedOut          int `json:"timed_out"`
 	Cancelled         int `json:"cancelled"`
 	NotSent           int `json:"not_sent"`
-	EffectsRun        int `json:"ran"`          // messages that took effect, repeats counted
-	DuplicateEffects  int `json:"doubled_once"` // effects of what must not be repeated beyond the first
+	EffectsRun        int `json:"ran"`          // effects of messages, repeats included
+	DuplicateEffects  int `json:"doubled_once"` // further effects of messages whose class allows one
 	RepeatsDropped    int `json:"repeats_dropped"`
 	Outages           int `json:"outages"`
-	UnitsOverloaded   int `json:"units_fallen"`
+	UnitsOverloaded   int `json:"units_fallen"` // overloaded during recovery
 
-	Margins []float64 `json:"margins,omitempty"` // of each cold return, see package margin
+	Margins []float64 `json:"margins,omitempty"` // of each recovery, see package margin
 
-	// Recovery is how long after the end of the last outage what all senders hold was back at its level before the first:
-	// one and a half times the mean there, and two messages more. -1 if it was not by the end, or there was no outage.
+	// Recovery is the time from the end of the last outage until the senders together held no more than normal: 1.5 times
+	// the mean before the first outage, plus two messages. It is -1 without an outage, or if that did not happen.
 	Recovery float64 `json:"recovery_s"`
 
-	Mean float64 `json:"mean_ms"` // of the time from first hand-in to delivery, as are the percentiles
+	Mean float64 `json:"mean_ms"` // from first submission to delivery; so are the percentiles
 	P50  float64 `json:"p50_ms"`
 	P90  float64 `json:"p90_ms"`
 	P99  float64 `json:"p99_ms"`
 	P999 float64 `json:"p999_ms"`
 
-	ViolationCount int               `json:"rules_broken"` // breaks in all
+	ViolationCount int               `json:"rules_broken"` // all of them, also those that Violations leaves out
 	ByRule         map[string]int    `json:"by_rule,omitempty"`
 	Violations     []judge.Violation `json:"breaks,omitempty"`
-	InvalidActions map[string]int    `json:"faults,omitempty"` // what a policy asked for that cannot be
-	Stopped        string            `json:"stopped,omitempty"`
+	InvalidActions map[string]int    `json:"faults,omitempty"`  // number of each kind of impossible action, by description
+	Stopped        string            `json:"stopped,omitempty"` // why the run ended early
 	Events         uint64            `json:"events"`
 	ModelSeconds   float64           `json:"model_s"`
 	PeakHeld       int               `json:"peak_held"`
@@ -105,237 +108,276 @@
 	Log                 []string            `json:"log,omitempty"`
 }
 
-// Books keeps the figures while a run goes on.
+// Collector collects the statistics while a run goes on. Its methods are called in the order of model time.
 type Collector struct {
 	Result
-	s       *scenario.Scenario
-	step    time.Duration
-	first   []bool // by first try: served
-	once    []bool // by first try: took effect
-	spans   []span // of ten seconds, by when the first try came
-	classes []span
-	all     *hdrhistogram.Histogram
-	now     *hdrhistogram.Histogram // of the present window
-	lane    map[int]int             // by destination
-	took    float64                 // seconds, of all served
-	held    recovery
+	scenario        *scenario.Scenario
+	windowLength    time.Duration
+	servedTries     []bool     // whether it was served, by first try
+	ranOnce         []bool     // whether it took effect, by first try
+	spans           []worthSum // by the time of the first try, in steps of worstSpanLength
+	classes         []worthSum // by class
+	latencies       *hdrhistogram.Histogram
+	windowLatencies *hdrhistogram.Histogram // of the current window
+	tracked         map[int]int             // index in BusiestDestinations, by destination
+	latencySeconds  float64                 // sum over all served messages
+	recovery        recoveryTracker
 }
 
-type span struct{ asked, earned float64 }
+// worthSum is the worth of submitted messages and how much of it was earned.
+type worthSum struct{ submitted, earned float64 }
 
 const (
-	worstSpan = 10 * time.Second
-	lanes     = 6
-	longest   = int64(time.Hour / time.Microsecond)
+	// Length of the spans of which Result.Worst is the worst one.
+	worstSpanLength = 10 * time.Second
+
+	// A span with less than this share of the mean worth submitted is ignored for Result.Worst: it is a fragment.
+	minSpanShare = 0.1
+
+	// Number of destinations with a time series.
+	maxTracked = 6
+
+	// Upper end of the latency histograms, in microseconds.
+	maxLatencyMicros = int64(time.Hour / time.Microsecond)
+
+	// Significant decimal digits of the latency histograms, of the whole run and of a window.
+	runLatencyDigits    = 3
+	windowLatencyDigits = 2
+
+	// The senders have recovered when they hold no more than this factor times the mean before the first outage, plus the
+	// given number of messages.
+	recoveredFactor = 1.5
+	recoveredSlack  = 2
+
+	// Lower limit of the aim in seconds, so that an aim of zero can be divided by.
+	minAimSeconds = 1e-3
 )
 
-// New returns empty books.
+// New returns a Collector for one run of a scenario.
 func New(s *scenario.Scenario) *Collector {
-	return &Collector{s: s, step: s.Run.Window.D(), classes: make([]span, len(s.Classes)), lane: map[int]int{},
-		all: hdrhistogram.New(1, longest, 3), now: hdrhistogram.New(1, longest, 2)}
+	return &Collector{
+		scenario:        s,
+		windowLength:    s.Run.Window.D(),
+		classes:         make([]worthSum, len(s.Classes)),
+		tracked:         map[int]int{},
+		latencies:       hdrhistogram.New(1, maxLatencyMicros, runLatencyDigits),
+		windowLatencies: hdrhistogram.New(1, maxLatencyMicros, windowLatencyDigits),
+	}
 }
 
-// Watch adds a destination to the lanes that are kept over time, while there is room.
-func (b *Collector) TrackDestination(dest int, rate float64) {
-	if len(b.BusiestDestinations) < lanes {
-		b.lane[dest] = len(b.BusiestDestinations)
-		b.BusiestDestinations = append(b.BusiestDestinations, DestinationSeries{Dest: dest, Capacity: rate})
+// TrackDestination keeps a time series of a destination, while there is room for one. capacity is in calls a second.
+func (c *Collector) TrackDestination(dest int, capacity float64) {
+	if len(c.BusiestDestinations) < maxTracked {
+		c.tracked[dest] = len(c.BusiestDestinations)
+		c.BusiestDestinations = append(c.BusiestDestinations, DestinationSeries{Dest: dest, Capacity: capacity})
 	}
 }
 
-// recovery follows what is held before, during and after outages.
-type recovery struct {
-	sum, n  float64 // before the first outage
-	lasting int     // outages now
-	began   bool
-	ended   time.Duration // of the last one
-	back    time.Duration // 0: not yet
+// recoveryTracker follows the number of held messages before, during and after outages, for Result.Recovery.
+type recoveryTracker struct {
+	heldSum, heldSamples float64 // before the first outage
+	ongoing              int     // number of outages now
+	anyOutage            bool
+	lastEnded            time.Duration // end of the last outage
+	recoveredAt          time.Duration // 0 until then
 }
 
-// Outage books that an outage began or ended.
-func (b *Collector) Outage(now time.Duration, begins bool) {
-	h := &b.held
+// Outage records that an outage began or ended.
+func (c *Collector) Outage(now time.Duration, begins bool) {
+	recovery := &c.recovery
 	if begins {
-		b.Outages++
-		h.began = true
-		h.lasting++
-		h.back = 0
+		c.Outages++
+		recovery.anyOutage = true
+		recovery.ongoing++
+		recovery.recoveredAt = 0
 		return
 	}
-	h.lasting--
-	h.ended = now
+	recovery.ongoing--
+	recovery.lastEnded = now
 }
 
-// Held books what all senders hold at a look.
-func (b *Collector) HeldSampled(now time.Duration, n int) {
-	w := b.window(now)
-	h := &b.held
-	if w.looked++; w.looked == 1 {
+// HeldSampled records a sample of the number of messages that all senders hold.
+func (c *Collector) HeldSampled(now time.Duration, held int) {
+	w := c.window(now)
+	recovery := &c.recovery
+	if w.heldSamples++; w.heldSamples == 1 {
 		w.Held = 0
 	}
-	w.Held += (float64(n) - w.Held) / float64(w.looked)
-	switch {
-	case !h.began:
-		h.sum, h.n = h.sum+float64(n), h.n+1
-	case h.lasting == 0 && h.back == 0 && float64(n) <= 1.5*h.sum/max(h.n, 1)+2:
-		h.back = now
+	w.Held += (float64(held) - w.Held) / float64(w.heldSamples)
+	if !recovery.anyOutage {
+		recovery.heldSum += float64(held)
+		recovery.heldSamples++
+		return
+	}
+	if recovery.ongoing > 0 || recovery.recoveredAt > 0 {
+		return
+	}
+	if float64(held) <= recoveredFactor*recovery.heldSum/max(recovery.heldSamples, 1)+recoveredSlack {
+		recovery.recoveredAt = now
 	}
 }
 
-// window returns the series' present step, closing those before it.
-func (b *Collector) window(now time.Duration) *Window {
-	for i := int(now / b.step); len(b.Series) <= i; {
-		b.closeWindow()
-		b.Series = append(b.Series, Window{At: float64(len(b.Series)) * b.step.Seconds()})
-		for l := range b.BusiestDestinations {
-			b.BusiestDestinations[l].Calls = append(b.BusiestDestinations[l].Calls, 0)
-			b.BusiestDestinations[l].Refusals = append(b.BusiestDestinations[l].Refusals, 0)
+// window returns the current window of the time series, after closing those before it.
+func (c *Collector) window(now time.Duration) *Window {
+	for i := int(now / c.windowLength); len(c.Series) <= i; {
+		c.closeWindow()
+		c.Series = append(c.Series, Window{At: float64(len(c.Series)) * c.windowLength.Seconds()})
+		for l := range c.BusiestDestinations {
+			c.BusiestDestinations[l].Calls = append(c.BusiestDestinations[l].Calls, 0)
+			c.BusiestDestinations[l].Refusals = append(c.BusiestDestinations[l].Refusals, 0)
 		}
 	}
-	return &b.Series[len(b.Series)-1]
+	return &c.Series[len(c.Series)-1]
 }
 
-func (b *Collector) closeWindow() {
-	if len(b.Series) == 0 || b.now.TotalCount() == 0 {
+// closeWindow sets the latencies of the latest window.
+func (c *Collector) closeWindow() {
+	if len(c.Series) == 0 || c.windowLatencies.TotalCount() == 0 {
 		return
 	}
-	w := &b.Series[len(b.Series)-1]
-	w.P50, w.P99 = ms(b.now.ValueAtQuantile(50)), ms(b.now.ValueAtQuantile(99))
-	b.now.Reset()
+	w := &c.Series[len(c.Series)-1]
+	w.P50, w.P99 = ms(c.windowLatencies.ValueAtQuantile(50)), ms(c.windowLatencies.ValueAtQuantile(99))
+	c.windowLatencies.Reset()
 }
 
+// ms converts microseconds to milliseconds.
 func ms(us int64) float64 { return float64(us) / 1000 }
 
-// Asked books a first try.
-func (b *Collector) MessageSubmitted(now time.Duration, m *model.Message) {
-	b.Result.Submitted++
-	b.window(now).Submitted++
-	b.first, b.once = append(b.first, false), append(b.once, false)
-	worth := b.s.Classes[m.Class].Worth
-	b.span(now).asked += worth
-	b.classes[m.Class].asked += worth
+// MessageSubmitted records a first try.
+func (c *Collector) MessageSubmitted(now time.Duration, m *model.Message) {
+	c.Submitted++
+	c.window(now).Submitted++
+	c.servedTries = append(c.servedTries, false)
+	c.ranOnce = append(c.ranOnce, false)
+	worth := c.scenario.Classes[m.Class].Worth
+	c.spanAt(now).submitted += worth
+	c.classes[m.Class].submitted += worth
 }
 
-func (b *Collector) span(at time.Duration) *span {
-	for len(b.spans) <= int(at/worstSpan) {
-		b.spans = append(b.spans, span{})
+// spanAt returns the sum of the span that a time lies in.
+func (c *Collector) spanAt(at time.Duration) *worthSum {
+	for len(c.spans) <= int(at/worstSpanLength) {
+		c.spans = append(c.spans, worthSum{})
 	}
-	return &b.spans[at/worstSpan]
+	return &c.spans[at/worstSpanLength]
 }
 
-// TurnedOff books a message that found no room.
-func (b *Collector) MessageTurnedAway(now time.Duration, _ *model.Message) {
-	b.TurnedAway++
-	b.window(now).TurnedAway++
+// MessageTurnedAway records a message that a sender had no room for.
+func (c *Collector) MessageTurnedAway(now time.Duration, _ *model.Message) {
+	c.TurnedAway++
+	c.window(now).TurnedAway++
 }
 
-// Again books a later try.
-func (b *Collector) MessageResubmitted(time.Duration, *model.Message) { b.Result.Resubmitted++ }
+// MessageResubmitted records a later try.
+func (c *Collector) MessageResubmitted(time.Duration, *model.Message) { c.Resubmitted++ }
 
-// Called books a call.
-func (b *Collector) CallSent(now time.Duration, c *model.Call, u *receiver.Unit, opened bool) {
-	b.Calls++
-	b.Attempts += len(c.Messages)
+// CallSent records a call; opened is set if a new connection is opened for it.
+func (c *Collector) CallSent(now time.Duration, call *model.Call, u *receiver.Unit, opened bool) {
+	c.Calls++
+	c.Attempts += len(call.Messages)
 	if opened {
-		b.ConnectionsOpened++
+		c.ConnectionsOpened++
 	}
-	w := b.window(now)
+	w := c.window(now)
 	w.Calls++
-	if i, kept := b.lane[u.Dest]; kept {
-		b.BusiestDestinations[i].Calls[len(b.Series)-1]++
+	if i, kept := c.tracked[u.Dest]; kept {
+		c.BusiestDestinations[i].Calls[len(c.Series)-1]++
 	}
 }
 
-// Outcome books how an attempt ended.
-func (b *Collector) AttemptEnded(now time.Duration, _ int, o rules.Outcome) {
-	w := b.window(now)
+// AttemptEnded records the outcome of an attempt.
+func (c *Collector) AttemptEnded(now time.Duration, _ int, o rules.Outcome) {
+	w := c.window(now)
 	switch o {
 	case rules.Errored:
-		b.Errors++
+		c.Errors++
 		w.Errors++
 	case rules.Reset:
-		b.Resets++
+		c.Resets++
 		w.Errors++
 	case rules.ConnectError:
-		b.ConnectsFailed++
+		c.ConnectsFailed++
 		w.Errors++
 	case rules.TimedOut:
-		b.TimedOut++
+		c.TimedOut++
 		w.TimedOut++
 	case rules.Cancelled:
-		b.Cancelled++
+		c.Cancelled++
 	case rules.NotSent:
-		b.NotSent++
+		c.NotSent++
 	}
 }
 
-// Refusal books a call that a receiver turned away.
-func (b *Collector) CallRefused(now time.Duration, u *receiver.Unit, limit bool) {
-	w := b.window(now)
-	if limit {
-		b.RefusedByLimit++
+// CallRefused records a call that a receiver refused; byLimit is set if its limit was the reason.
+func (c *Collector) CallRefused(now time.Duration, u *receiver.Unit, byLimit bool) {
+	w := c.window(now)
+	if byLimit {
+		c.RefusedByLimit++
 		w.RefusedByLimit++
 	} else {
-		b.RefusedOtherwise++
+		c.RefusedOtherwise++
 		w.RefusedOtherwise++
 	}
-	if i, kept := b.lane[u.Dest]; kept {
-		b.BusiestDestinations[i].Refusals[len(b.Series)-1]++
+	if i, kept := c.tracked[u.Dest]; kept {
+		c.BusiestDestinations[i].Refusals[len(c.Series)-1]++
 	}
 }
 
-// Ran books that a message took effect, or that a repeat was dropped by its key.
-func (b *Collector) MessageTookEffect(m *model.Message, repeat bool) {
+// MessageTookEffect records that a message took effect, or that the receiver dropped it as a repeat.
+func (c *Collector) MessageTookEffect(m *model.Message, repeat bool) {
 	if repeat {
-		b.RepeatsDropped++
+		c.RepeatsDropped++
 		return
 	}
-	b.EffectsRun++
-	if b.s.Classes[m.Class].Effect == "once" {
-		if b.once[m.FirstTry] {
-			b.DuplicateEffects++
+	c.EffectsRun++
+	if c.scenario.Classes[m.Class].Effect == "once" {
+		if c.ranOnce[m.FirstTry] {
+			c.DuplicateEffects++
 		}
-		b.once[m.FirstTry] = true
+		c.ranOnce[m.FirstTry] = true
 	}
 }
 
-// Ended books the end of a message at a sender.
-func (b *Collector) MessageEnded(now time.Duration, _ int, m *model.Message, end model.End) {
-	w := b.window(now)
+// MessageEnded records the end of a message at a sender.
+func (c *Collector) MessageEnded(now time.Duration, _ int, m *model.Message, end model.End) {
+	w := c.window(now)
 	switch end {
 	case model.Refused:
-		b.Refused++
+		c.Refused++
 		w.Refused++
 	case model.Failed:
-		b.Failed++
+		c.Failed++
 		w.Failed++
 	case model.Served:
-		if b.first[m.FirstTry] {
-			return // a repeat of what was served before
+		if c.servedTries[m.FirstTry] {
+			return // an earlier delivery of the message counts
 		}
-		b.first[m.FirstTry] = true
-		b.served(now, m, w)
+		c.servedTries[m.FirstTry] = true
+		c.recordDelivery(now, m, w)
 	}
 }
 
-func (b *Collector) served(now time.Duration, m *model.Message, w *Window) {
+// recordDelivery records the first delivery of a message.
+func (c *Collector) recordDelivery(now time.Duration, m *model.Message, w *Window) {
 	took := now - m.FirstSubmitted
-	b.Served++
-	b.took += took.Seconds()
+	c.Served++
+	c.latencySeconds += took.Seconds()
 	w.Served++
-	if took <= b.s.Classes[m.Class].Aim.D() {
-		b.InAim++
+	if took <= c.scenario.Classes[m.Class].Aim.D() {
+		c.InAim++
 	}
 	us := max(took.Microseconds(), 1)
-	_ = b.all.RecordValue(us) // within range: a deadline is a day at most, checked, and clipped below
-	_ = b.now.RecordValue(min(us, longest))
-	worth := Worth(&b.s.Classes[m.Class], took)
-	b.span(m.FirstSubmitted).earned += worth
-	b.classes[m.Class].earned += worth
+	// An error means that the value is above the histogram's range. The histogram of the run leaves such values out: a
+	// deadline may be up to a day. Those of windows count them as the highest value.
+	_ = c.latencies.RecordValue(us)
+	_ = c.windowLatencies.RecordValue(min(us, maxLatencyMicros))
+	worth := Worth(&c.scenario.Classes[m.Class], took)
+	c.spanAt(m.FirstSubmitted).earned += worth
+	c.classes[m.Class].earned += worth
 }
 
-// Worth is what a message earns that is delivered after a time: all of it within the aim, then half as much with each
-// further aim, not under the late worth, and nothing after the deadline.
+// Worth returns what a message earns that is delivered after the given time: its full worth within the aim. Beyond the
+// aim, it halves with each further aim that passes, down to the late worth. After the deadline it is zero.
 func Worth(c *scenario.Class, took time.Duration) float64 {
 	switch {
 	case took > c.Deadline.D():
@@ -343,47 +385,48 @@
 	case took <= c.Aim.D():
 		return c.Worth
 	}
-	late := (took - c.Aim.D()).Seconds() / max(c.Aim.D().Seconds(), 1e-3)
-	return c.Worth * max(c.LateWorth, math.Exp2(-late))
+	aimsLate := (took - c.Aim.D()).Seconds() / max(c.Aim.D().Seconds(), minAimSeconds)
+	return c.Worth * max(c.LateWorth, math.Exp2(-aimsLate))
 }
 
-// Close reckons up the figures.
-func (b *Collector) Finish() *Result {
-	b.closeWindow()
-	r := &b.Result
-	r.WindowSeconds = b.step.Seconds()
+// Finish computes the derived statistics and returns the result.
+func (c *Collector) Finish() *Result {
+	c.closeWindow()
+	r := &c.Result
+	r.WindowSeconds = c.windowLength.Seconds()
 	r.Recovery = -1
-	if b.held.back > 0 {
-		r.Recovery = (b.held.back - b.held.ended).Seconds()
+	if c.recovery.recoveredAt > 0 {
+		r.Recovery = (c.recovery.recoveredAt - c.recovery.lastEnded).Seconds()
 	}
-	var all span
+	var all worthSum
 	r.Worst, r.WorstClass = 1, 1
-	for _, x := range b.spans {
-		all.asked, all.earned = all.asked+x.asked, all.earned+x.earned
+	for _, x := range c.spans {
+		all.submitted += x.submitted
+		all.earned += x.earned
 	}
-	for _, x := range b.spans {
-		if x.asked > 0.1*all.asked/float64(len(b.spans)) { // a stub of a span says nothing
-			r.Worst = min(r.Worst, x.earned/x.asked)
+	for _, x := range c.spans {
+		if x.submitted > minSpanShare*all.submitted/float64(len(c.spans)) {
+			r.Worst = min(r.Worst, x.earned/x.submitted)
 		}
 	}
-	for _, x := range b.classes {
-		if x.asked > 0 {
-			r.WorstClass = min(r.WorstClass, x.earned/x.asked)
+	for _, x := range c.classes {
+		if x.submitted > 0 {
+			r.WorstClass = min(r.WorstClass, x.earned/x.submitted)
 		}
 	}
 	r.Whole = 1
-	if all.asked > 0 {
-		r.Whole = all.earned / all.asked
+	if all.submitted > 0 {
+		r.Whole = all.earned / all.submitted
 	}
-	g := b.s.Goal
+	g := c.scenario.Goal
 	r.G = (g.Whole*r.Whole + g.Worst*r.Worst + g.Class*r.WorstClass) / (g.Whole + g.Worst + g.Class)
 	if r.Submitted > 0 {
 		r.G -= g.Refuse * float64(r.RefusedByLimit) / float64(r.Submitted)
 	}
 	if r.Served > 0 {
-		r.Mean = 1000 * b.took / float64(r.Served)
+		r.Mean = 1000 * c.latencySeconds / float64(r.Served)
 	}
-	r.P50, r.P90 = ms(b.all.ValueAtQuantile(50)), ms(b.all.ValueAtQuantile(90))
-	r.P99, r.P999 = ms(b.all.ValueAtQuantile(99)), ms(b.all.ValueAtQuantile(99.9))
+	r.P50, r.P90 = ms(c.latencies.ValueAtQuantile(50)), ms(c.latencies.ValueAtQuantile(90))
+	r.P99, r.P999 = ms(c.latencies.ValueAtQuantile(99)), ms(c.latencies.ValueAtQuantile(99.9))
 	return r
 }
