--- a/lab/baseline/backoff.go
+++ b/lab/baseline/backoff.go
@@ -1,4 +1,4 @@
-// This file owns the textbook policy: exponential backoff, with a circuit breaker for each destination.
+// This file owns the policy with exponential backoff and a circuit breaker for each destination.
 
 package baseline
 
@@ -13,87 +13,99 @@
 	"eiderhaven/rules"
 )
 
-// Backoff returns the policy of exponential backoff and a circuit breaker.
-func Backoff(set rules.Settings) *frame {
-	return newFrame(set, &backingOff{r: rand.New(rand.NewPCG(set.Seed, 17))})
+// Backoff returns the policy with exponential backoff for each message and a circuit breaker for each destination.
+func Backoff(set rules.Settings) *engine {
+	return newEngine(set, &backoffWithBreaker{random: rand.New(rand.NewPCG(set.Seed, backoffStream))})
 }
 
 const (
-	firstWait    = 200 * time.Millisecond
-	longestWait  = 5 * time.Second
-	callTimeout  = 3 * time.Second
-	tripAfter    = 5
-	openFor      = 2 * time.Second
-	halfOpenOnly = 1
+	// Second seed of the random stream, beside that of the settings.
+	backoffStream = 17
+
+	// Mean backoff after the first failure of a message, and its upper limit.
+	initialBackoff = 200 * time.Millisecond
+	maxBackoff     = 5 * time.Second
+
+	// Timeout of an attempt, here and in the adaptive policy. Messages that must not be repeated have none.
+	callTimeout = 3 * time.Second
+
+	// Circuit breaker: consecutive failures that open it, the time it stays open, and the calls in the half-open state.
+	failuresToOpen = 5
+	openDuration   = 2 * time.Second
+	halfOpenCalls  = 1
 )
 
-type backingOff struct{ r *rand.Rand }
+type backoffWithBreaker struct{ random *rand.Rand }
 
-// circuit is a breaker with its open time kept here, in model time: the library's own timer runs by the machine's clock, so
-// it is set to nothing and the breaker is only asked again once openFor has passed in the model.
-type circuit struct {
-	b     *gobreaker.TwoStepCircuitBreaker[any]
-	until time.Duration
-	done  []func(error) // of the calls out, oldest first
-	trial bool
+// circuitBreaker is a circuit breaker in model time. The timer of the library follows the wall clock, so it is set to
+// one nanosecond, and the breaker is consulted again only when openDuration has passed in model time.
+type circuitBreaker struct {
+	breaker   *gobreaker.TwoStepCircuitBreaker[any]
+	openUntil time.Duration
+	onDone    []func(error) // of the calls in flight, oldest first
+	probing   bool          // half-open: one call at a time
 }
 
-var errCall = errors.New("the call failed")
+var errCallFailed = errors.New("the call failed")
 
-func (s *backingOff) circuit(d *dest) *circuit {
-	if c, ok := d.state.(*circuit); ok {
+func (s *backoffWithBreaker) circuitOf(d *destination) *circuitBreaker {
+	if c, ok := d.strategyState.(*circuitBreaker); ok {
 		return c
 	}
-	c := &circuit{}
-	c.b = gobreaker.NewTwoStepCircuitBreaker[any](gobreaker.Settings{
-		MaxRequests: halfOpenOnly,
-		Timeout:     1, // a nanosecond: see circuit
-		ReadyToTrip: func(n gobreaker.Counts) bool { return n.ConsecutiveFailures >= tripAfter },
+	c := &circuitBreaker{}
+	c.breaker = gobreaker.NewTwoStepCircuitBreaker[any](gobreaker.Settings{
+		MaxRequests: halfOpenCalls,
+		Timeout:     1, // see circuitBreaker
+		ReadyToTrip: func(n gobreaker.Counts) bool { return n.ConsecutiveFailures >= failuresToOpen },
 	})
-	d.state = c
+	d.strategyState = c
 	return c
 }
 
-func (s *backingOff) may(f *frame, _ *msg, ep *endpoint) bool {
-	c := s.circuit(ep.route)
-	return f.now >= c.until && !(c.trial && len(c.done) > 0)
+func (s *backoffWithBreaker) maySend(eng *engine, _ *message, ep *endpoint) bool {
+	c := s.circuitOf(ep.limitScope)
+	return eng.now >= c.openUntil && !(c.probing && len(c.onDone) > 0)
 }
 
-func (s *backingOff) sent(f *frame, ep *endpoint) {
-	c := s.circuit(ep.route)
-	done, err := c.b.Allow()
-	if err != nil { // half-open with its trial out: may has kept this from happening
+func (s *backoffWithBreaker) onCallSent(eng *engine, ep *endpoint) {
+	c := s.circuitOf(ep.limitScope)
+	done, err := c.breaker.Allow()
+	if err != nil { // half-open with a call in flight, which maySend excludes
 		done = func(error) {}
 	}
-	c.done = append(c.done, done)
+	c.onDone = append(c.onDone, done)
 }
 
-func (s *backingOff) ended(f *frame, m *msg, ep *endpoint, e rules.AttemptEnded) (bool, time.Duration) {
-	c := s.circuit(ep.route)
-	if m.leads && len(c.done) > 0 {
-		done := c.done[0]
-		c.done = c.done[1:]
+func (s *backoffWithBreaker) onAttemptEnded(
+	eng *engine, m *message, ep *endpoint, e rules.AttemptEnded,
+) (bool, time.Duration) {
+	c := s.circuitOf(ep.limitScope)
+	if m.leadsCall && len(c.onDone) > 0 {
+		done := c.onDone[0]
+		c.onDone = c.onDone[1:]
 		if e.Outcome == rules.OK {
 			done(nil)
-			c.trial = false
+			c.probing = false
 		} else {
-			done(errCall)
+			done(errCallFailed)
 		}
 	}
-	if c.b.State() != gobreaker.StateClosed && e.Outcome != rules.OK {
-		c.until, c.trial = f.now+openFor, true
+	if c.breaker.State() != gobreaker.StateClosed && e.Outcome != rules.OK {
+		c.openUntil, c.probing = eng.now+openDuration, true
 	}
-	if m.state == nil {
+	if m.strategyState == nil {
 		b := backoff.NewExponentialBackOff()
-		b.InitialInterval, b.MaxInterval, b.RandomizationFactor = firstWait, longestWait, 0 // the library draws from a global source
+		b.InitialInterval = initialBackoff
+		b.MaxInterval = maxBackoff
+		b.RandomizationFactor = 0 // the library draws from a global source, so a random factor is applied below
 		b.Reset()
-		m.state = b
+		m.strategyState = b
 	}
-	wait := m.state.(*backoff.ExponentialBackOff).NextBackOff()
-	return true, time.Duration(float64(wait) * (0.5 + s.r.Float64()))
+	meanWait := m.strategyState.(*backoff.ExponentialBackOff).NextBackOff()
+	return true, time.Duration(float64(meanWait) * (0.5 + s.random.Float64()))
 }
 
-func (s *backingOff) timeout(m *msg) time.Duration {
+func (s *backoffWithBreaker) timeout(m *message) time.Duration {
 	if m.class.Effect == rules.AtMostOnce {
 		return 0
 	}
--- a/lab/baseline/baseline.go
+++ b/lab/baseline/baseline.go
@@ -1,6 +1,8 @@
-// Package baseline owns the policies that the decision module is compared with. They are for the lab alone and must never
-// be linked into the daemon. All share one frame that keeps the list, the messages and the rules on ends, drains, waits and
-// repeats; they differ in when they send and whether they try again.
+// Package baseline holds the policies that the decision module (package rules) is compared with. They are for the lab
+// only and must never be linked into the daemon.
+//
+// All of them share one engine. It keeps the endpoint list and the messages, and observes the rules on final answers,
+// draining endpoints, retry-after and repeats. The policies differ in when they send and whether they try again.
 package baseline
 
 import (
@@ -11,330 +13,385 @@
 	"eiderhaven/rules"
 )
 
-// frame is what all baselines share.
-type frame struct {
-	set    rules.Settings
-	how    strategy
-	now    time.Duration
-	dests  map[int]*dest
-	eps    map[rules.EndpointID]*endpoint
-	msgs   map[rules.MessageID]*msg
-	queue  []*msg // held and not out, in order of arrival
-	busy   int
-	wakeAt time.Duration
-	out    []rules.Action
-	fresh  map[*endpoint]int // messages in the last call that this step makes there
-	turns  map[string]*turn
-	seq    int
+const (
+	// A message gets its final answer this many ticks before its deadline, so that the answer is in time.
+	answerTicks = 2
+
+	// While messages wait to be sent, a sender steps at least once in this many ticks.
+	idleTicks = 10
+)
+
+// engine is the part of a policy that all baselines share.
+type engine struct {
+	settings     rules.Settings
+	strategy     strategy
+	now          time.Duration
+	destinations map[int]*destination
+	endpoints    map[rules.EndpointID]*endpoint
+	messages     map[rules.MessageID]*message
+	queue        []*message // held and not in flight, in order of arrival
+	busySlots    int
+	wakeAt       time.Duration // of the latest WakeAfter; negative before the first step
+	actions      []rules.Action
+	batchSizes   map[*endpoint]int      // messages in the latest call of this step, by its endpoint
+	orderQueues  map[string]*orderQueue // by order key
+	lastSeq      int
 }
 
-// turn is the messages of one order key, first taken first, and until when the key rests.
-type turn struct {
-	msgs []*msg
-	rest time.Duration
+// orderQueue holds the messages of one order key, first accepted first. None of them is sent before pausedUntil, as an
+// attempt may still run.
+type orderQueue struct {
+	messages    []*message
+	pausedUntil time.Duration
 }
 
-type dest struct {
-	number    int
-	endpoints []*endpoint
-	next      int
-	until     time.Duration // a told wait
-	state     any           // the strategy's
+// destination is a destination, or one endpoint of it that has a limit and outages of its own.
+type destination struct {
+	number        int
+	endpoints     []*endpoint
+	rotation      int           // for round robin over the endpoints
+	notBefore     time.Duration // end of the latest retry-after
+	strategyState any           // used by the strategy only
 }
 
 type endpoint struct {
-	id     rules.EndpointID
-	dest   *dest
-	route  *dest // what waits and state belong to: the destination, or one of its own where routes are apart
-	listed bool
-	batch  int
-	calls  int
+	id          rules.EndpointID
+	destination *destination
+	limitScope  *destination // what shares its limit: the destination, or only itself if Kind.RoutesApart
+	listed      bool
+	batch       int // messages in one call at most
+	inFlight    int // calls
 }
 
-type msg struct {
-	id        rules.MessageID
-	dest      *dest
-	class     *rules.Class
-	deadline  time.Duration
-	tries     int
-	out       int
-	mayRun    bool
-	ran       time.Duration
-	over      bool
-	notBefore time.Duration
-	seq       int // order of arrival
-	turn      *turn
-	at        *endpoint // of the last attempt
-	gaveUp    int       // the attempt that was called off last, from 1
-	leads     bool      // first of the call that it is out with: the strategy hears of one outcome a call
-	state     any       // the strategy's
+type message struct {
+	id               rules.MessageID
+	destination      *destination
+	class            *rules.Class
+	deadline         time.Duration
+	attempts         int
+	inFlight         int // attempts
+	mayHaveRun       bool
+	mayHaveRunSince  time.Duration
+	finished         bool
+	notBefore        time.Duration
+	seq              int // order of arrival
+	orderQueue       *orderQueue
+	lastEndpoint     *endpoint // of the latest attempt
+	cancelledAttempt int       // number of the latest attempt that was cancelled, from 1
+	leadsCall        bool      // first message of its call, for which the outcome of the call is counted
+	strategyState    any       // used by the strategy only
 }
 
-// strategy is how a baseline differs from the others.
+// strategy is the part in which a baseline differs from the others.
 type strategy interface {
-	// may tells whether a call may go to the endpoint now; sent tells that one does.
-	may(f *frame, m *msg, ep *endpoint) bool
-	sent(f *frame, ep *endpoint)
-	// ended takes an outcome and returns after how long the message may be tried again, if it may at all.
-	ended(f *frame, m *msg, ep *endpoint, e rules.AttemptEnded) (again bool, after time.Duration)
-	timeout(m *msg) time.Duration
+	// maySend reports whether a call that starts with the message may be sent to the endpoint now.
+	maySend(eng *engine, m *message, ep *endpoint) bool
+	// onCallSent is called for each call that is sent.
+	onCallSent(eng *engine, ep *endpoint)
+	// onAttemptEnded is called with each outcome. It returns whether the message may be tried again, and after what time.
+	onAttemptEnded(eng *engine, m *message, ep *endpoint, e rules.AttemptEnded) (again bool, after time.Duration)
+	// timeout returns the timeout of an attempt; 0 means none but the deadline.
+	timeout(m *message) time.Duration
 }
 
-func newFrame(set rules.Settings, how strategy) *frame {
-	return &frame{set: set, how: how, dests: map[int]*dest{}, eps: map[rules.EndpointID]*endpoint{},
-		msgs: map[rules.MessageID]*msg{}, turns: map[string]*turn{}, wakeAt: -1}
+// The following interfaces are optional for a strategy.
+
+// canceller cancels attempts before their timeout, at the start of each step.
+type canceller interface {
+	cancelUnresponsive(eng *engine)
 }
 
-// Step takes what has come in and returns what to do about it now.
-func (f *frame) Step(now time.Duration, events []rules.Event) []rules.Action {
-	f.now, f.out = now, nil
+// prioritizer returns the queue in the order in which messages are sent.
+type prioritizer interface {
+	sendOrder(eng *engine, queue []*message) []*message
+}
+
+// endpointRanker returns the cost of a call to an endpoint; the cheapest is tried first.
+type endpointRanker interface {
+	callCost(ep *endpoint) float64
+}
+
+func newEngine(set rules.Settings, s strategy) *engine {
+	return &engine{
+		settings:     set,
+		strategy:     s,
+		destinations: map[int]*destination{},
+		endpoints:    map[rules.EndpointID]*endpoint{},
+		messages:     map[rules.MessageID]*message{},
+		orderQueues:  map[string]*orderQueue{},
+		wakeAt:       -1,
+	}
+}
+
+// Step handles the events since the last step and returns the actions to take now.
+func (eng *engine) Step(now time.Duration, events []rules.Event) []rules.Action {
+	eng.now, eng.actions = now, nil
 	for _, e := range events {
-		f.handle(e)
+		eng.handleEvent(e)
 	}
-	if f.set.WatchesRegistry && f.wakeAt < 0 {
-		f.out = append(f.out, rules.Watch{})
+	if eng.settings.WatchesRegistry && eng.wakeAt < 0 {
+		eng.actions = append(eng.actions, rules.Watch{})
 	}
-	if own, ok := f.how.(interface{ giveUp(*frame) }); ok {
-		own.giveUp(f)
+	if c, ok := eng.strategy.(canceller); ok {
+		c.cancelUnresponsive(eng)
 	}
-	f.endDue()
-	f.dispatch()
-	f.wake()
-	return f.out
+	eng.finishDue()
+	eng.dispatch()
+	eng.scheduleWakeUp()
+	return eng.actions
 }
 
-func (f *frame) handle(e rules.Event) {
+func (eng *engine) handleEvent(e rules.Event) {
 	switch e := e.(type) {
 	case rules.Arrived:
-		m := &msg{id: e.ID, dest: f.dest(e.Destination), class: &f.set.Classes[e.Class], deadline: f.now + e.TimeLeft,
-			tries: e.Prior.Count, mayRun: e.Prior.MayHaveRun, ran: f.now - e.Prior.Age}
-		f.seq++
-		m.seq = f.seq
+		m := &message{
+			id:              e.ID,
+			destination:     eng.destinationFor(e.Destination),
+			class:           &eng.settings.Classes[e.Class],
+			deadline:        eng.now + e.TimeLeft,
+			attempts:        e.Prior.Count,
+			mayHaveRun:      e.Prior.MayHaveRun,
+			mayHaveRunSince: eng.now - e.Prior.Age,
+		}
+		eng.lastSeq++
+		m.seq = eng.lastSeq
 		if m.class.KeepOrder && e.OrderKey != "" {
-			if m.turn = f.turns[e.OrderKey]; m.turn == nil {
-				m.turn = &turn{}
-				f.turns[e.OrderKey] = m.turn
+			if m.orderQueue = eng.orderQueues[e.OrderKey]; m.orderQueue == nil {
+				m.orderQueue = &orderQueue{}
+				eng.orderQueues[e.OrderKey] = m.orderQueue
 			}
-			m.turn.msgs = append(m.turn.msgs, m)
+			m.orderQueue.messages = append(m.orderQueue.messages, m)
 		}
-		f.msgs[m.id] = m
-		f.queue = append(f.queue, m)
+		eng.messages[m.id] = m
+		eng.queue = append(eng.queue, m)
 	case rules.AttemptEnded:
-		f.ended(e)
+		eng.onAttemptEnded(e)
 	case rules.ListUpdate:
-		f.listed(e)
+		eng.onListUpdate(e)
 	}
 }
 
-func (f *frame) dest(n int) *dest {
-	d := f.dests[n]
+func (eng *engine) destinationFor(n int) *destination {
+	d := eng.destinations[n]
 	if d == nil {
-		d = &dest{number: n}
-		f.dests[n] = d
+		d = &destination{number: n}
+		eng.destinations[n] = d
 	}
 	return d
 }
 
-func (f *frame) listed(e rules.ListUpdate) {
+func (eng *engine) onListUpdate(e rules.ListUpdate) {
 	if e.Whole {
-		for _, ep := range f.eps {
+		for _, ep := range eng.endpoints {
 			ep.listed = false
 		}
 	}
 	for _, x := range e.Entries {
-		ep := f.eps[x.Endpoint]
+		ep := eng.endpoints[x.Endpoint]
 		if ep == nil {
-			d := f.dest(x.Destination)
-			ep = &endpoint{id: x.Endpoint, dest: d, route: d}
-			if x.Kind < len(f.set.Kinds) {
-				ep.batch = f.set.Kinds[x.Kind].Batch
-				if f.set.Kinds[x.Kind].RoutesApart {
-					ep.route = &dest{number: d.number}
+			d := eng.destinationFor(x.Destination)
+			ep = &endpoint{id: x.Endpoint, destination: d, limitScope: d}
+			if x.Kind < len(eng.settings.Kinds) {
+				ep.batch = eng.settings.Kinds[x.Kind].Batch
+				if eng.settings.Kinds[x.Kind].RoutesApart {
+					ep.limitScope = &destination{number: d.number}
 				}
 			}
-			f.eps[x.Endpoint] = ep
+			eng.endpoints[x.Endpoint] = ep
 			d.endpoints = append(d.endpoints, ep)
 		}
 		ep.listed = !x.Draining && !x.Gone
 	}
 }
 
-func (f *frame) ended(e rules.AttemptEnded) {
-	ep, m := f.eps[e.Endpoint], f.msgs[e.ID]
+func (eng *engine) onAttemptEnded(e rules.AttemptEnded) {
+	ep, m := eng.endpoints[e.Endpoint], eng.messages[e.ID]
 	if ep == nil || m == nil {
 		return
 	}
-	m.out--
-	if m.leads {
-		f.busy--
-		ep.calls--
+	m.inFlight--
+	if m.leadsCall {
+		eng.busySlots--
+		ep.inFlight--
 	}
 	if e.RetryAfter > 0 {
-		ep.route.until = max(ep.route.until, f.now+e.RetryAfter)
+		ep.limitScope.notBefore = max(ep.limitScope.notBefore, eng.now+e.RetryAfter)
 	}
 	switch e.Outcome {
 	case rules.Refused, rules.ConnectError, rules.NotSent:
 	default:
-		if !m.mayRun {
-			m.mayRun, m.ran = true, f.now-e.Elapsed
+		if !m.mayHaveRun {
+			m.mayHaveRun, m.mayHaveRunSince = true, eng.now-e.Elapsed
 		}
 	}
-	if m.turn != nil && (e.Outcome == rules.TimedOut || e.Outcome == rules.Reset || e.Outcome == rules.Cancelled) {
-		m.turn.rest = f.now + f.set.OrderPause
+	if m.orderQueue != nil && (e.Outcome == rules.TimedOut || e.Outcome == rules.Reset || e.Outcome == rules.Cancelled) {
+		m.orderQueue.pausedUntil = eng.now + eng.settings.OrderPause
 	}
-	again, after := f.how.ended(f, m, ep, e)
+	again, after := eng.strategy.onAttemptEnded(eng, m, ep, e)
 	switch {
-	case e.Finished || m.over:
-		m.over = true
-		f.drop(m)
-	case !again || !f.mayRepeat(m) || m.tries >= f.set.MaxAttempts:
-		f.end(m)
+	case e.Finished || m.finished:
+		m.finished = true
+		eng.forget(m)
+	case !again || !eng.mayRepeat(m) || m.attempts >= eng.settings.MaxAttempts:
+		eng.finish(m)
 	default:
-		m.notBefore = f.now + after
-		f.requeue(m)
+		m.notBefore = eng.now + after
+		eng.requeue(m)
 	}
 }
 
-// requeue keeps the order of arrival.
-func (f *frame) requeue(m *msg) {
-	i, _ := slices.BinarySearchFunc(f.queue, m, func(a, b *msg) int { return cmp.Compare(a.seq, b.seq) })
-	f.queue = slices.Insert(f.queue, i, m)
+// requeue puts a message back into the queue, which stays in order of arrival.
+func (eng *engine) requeue(m *message) {
+	i, _ := slices.BinarySearchFunc(eng.queue, m, func(a, b *message) int { return cmp.Compare(a.seq, b.seq) })
+	eng.queue = slices.Insert(eng.queue, i, m)
 }
 
-// mayRepeat holds rule 2.
-func (f *frame) mayRepeat(m *msg) bool {
+// mayRepeat reports whether the class of the message allows another attempt, given those that may have run.
+func (eng *engine) mayRepeat(m *message) bool {
 	switch {
-	case !m.mayRun || m.class.Effect == rules.Safe:
+	case !m.mayHaveRun || m.class.Effect == rules.Safe:
 		return true
 	case m.class.Effect == rules.Keyed && m.class.Scope == rules.DedupDestination:
-		return f.now+f.set.Tick < m.ran+m.class.Window
+		return eng.now+eng.settings.Tick < m.mayHaveRunSince+m.class.Window
 	}
 	return false
 }
 
-// end gives a message its final answer.
-func (f *frame) end(m *msg) {
-	m.over = true
-	ran := m.mayRun || m.out > 0
-	if !ran || m.class.Effect == rules.Safe || m.class.Effect == rules.Keyed && m.class.Scope == rules.DedupDestination {
-		f.out = append(f.out, rules.Refuse{ID: m.id})
+// finish gives a message its final answer: a refusal where a repeat by the client is harmless.
+func (eng *engine) finish(m *message) {
+	m.finished = true
+	mayHaveRun := m.mayHaveRun || m.inFlight > 0
+	deduplicated := m.class.Effect == rules.Keyed && m.class.Scope == rules.DedupDestination
+	if !mayHaveRun || m.class.Effect == rules.Safe || deduplicated {
+		eng.actions = append(eng.actions, rules.Refuse{ID: m.id})
 	} else {
-		f.out = append(f.out, rules.Fail{ID: m.id})
+		eng.actions = append(eng.actions, rules.Fail{ID: m.id})
 	}
-	f.drop(m)
+	eng.forget(m)
 }
 
-func (f *frame) drop(m *msg) {
-	f.queue = slices.DeleteFunc(f.queue, func(x *msg) bool { return x == m })
-	if m.out == 0 {
-		delete(f.msgs, m.id)
-		if m.turn != nil {
-			m.turn.msgs = slices.DeleteFunc(m.turn.msgs, func(x *msg) bool { return x == m })
+// forget removes a finished message from the queue, and altogether once no attempt of it is in flight.
+func (eng *engine) forget(m *message) {
+	eng.queue = slices.DeleteFunc(eng.queue, func(x *message) bool { return x == m })
+	if m.inFlight == 0 {
+		delete(eng.messages, m.id)
+		if m.orderQueue != nil {
+			m.orderQueue.messages = slices.DeleteFunc(m.orderQueue.messages, func(x *message) bool { return x == m })
 		}
 	}
 }
 
-func (f *frame) due(m *msg) time.Duration { return m.deadline - 2*f.set.Tick }
+// answerDeadline returns the time by which a message must have its final answer.
+func (eng *engine) answerDeadline(m *message) time.Duration {
+	return m.deadline - answerTicks*eng.settings.Tick
+}
 
-func (f *frame) endDue() {
-	var due []*msg
-	for _, m := range f.msgs {
-		if !m.over && (f.now >= f.due(m) || m.out == 0 && !f.mayRepeat(m)) {
+// finishDue finishes messages that are out of time or must not be repeated.
+func (eng *engine) finishDue() {
+	var due []*message
+	for _, m := range eng.messages {
+		if !m.finished && (eng.now >= eng.answerDeadline(m) || m.inFlight == 0 && !eng.mayRepeat(m)) {
 			due = append(due, m)
 		}
 	}
-	slices.SortFunc(due, func(a, b *msg) int { return cmp.Or(cmp.Compare(a.deadline, b.deadline), cmp.Compare(a.id, b.id)) })
+	slices.SortFunc(due, func(a, b *message) int {
+		return cmp.Or(cmp.Compare(a.deadline, b.deadline), cmp.Compare(a.id, b.id))
+	})
 	for _, m := range due {
-		f.end(m)
+		eng.finish(m)
 	}
 }
 
-// dispatch sends what may go, in order of arrival or the strategy's own.
-func (f *frame) dispatch() {
-	queue := f.queue
-	if own, ok := f.how.(interface{ order(*frame, []*msg) []*msg }); ok {
-		queue = own.order(f, queue)
+// dispatch sends all messages that may be sent, in order of arrival or in that of the strategy.
+func (eng *engine) dispatch() {
+	queue := eng.queue
+	if p, ok := eng.strategy.(prioritizer); ok {
+		queue = p.sendOrder(eng, queue)
 	}
-	f.fresh = map[*endpoint]int{}
-	sent := map[*msg]bool{}
+	eng.batchSizes = map[*endpoint]int{}
+	sent := map[*message]bool{}
 	for _, m := range queue {
-		if m.turn == nil || m.turn.msgs[0] == m && f.now >= m.turn.rest {
-			sent[m] = f.try(m)
+		if m.orderQueue == nil || m.orderQueue.messages[0] == m && eng.now >= m.orderQueue.pausedUntil {
+			sent[m] = eng.trySend(m)
 		}
 	}
-	f.queue = slices.DeleteFunc(f.queue, func(m *msg) bool { return sent[m] })
+	eng.queue = slices.DeleteFunc(eng.queue, func(m *message) bool { return sent[m] })
 }
 
-// try sends a message: with a call that this step makes already, if there is room in it, else to the next of its endpoints
-// that may take a call.
-func (f *frame) try(m *msg) bool {
-	if f.now < m.notBefore || !f.mayRepeat(m) {
+// trySend sends a message, if it may be sent now: in a call that this step already makes, if there is room in it, else
+// in a new call to the first endpoint that may get one.
+func (eng *engine) trySend(m *message) bool {
+	if eng.now < m.notBefore || !eng.mayRepeat(m) {
 		return false
 	}
-	d := m.dest
+	d := m.destination
 	for _, ep := range d.endpoints {
-		if n := f.fresh[ep]; n > 0 && n < ep.batch {
-			f.send(m, ep)
-			f.fresh[ep]++
+		if n := eng.batchSizes[ep]; n > 0 && n < ep.batch {
+			eng.send(m, ep)
+			eng.batchSizes[ep]++
 			return true
 		}
 	}
-	if f.busy >= f.set.Slots {
+	if eng.busySlots >= eng.settings.Slots {
 		return false
 	}
-	d.next++
-	for _, ep := range f.inTurn(d) {
-		if !ep.listed || f.now < ep.route.until || !f.how.may(f, m, ep) {
+	d.rotation++
+	for _, ep := range eng.endpointOrder(d) {
+		if !ep.listed || eng.now < ep.limitScope.notBefore || !eng.strategy.maySend(eng, m, ep) {
 			continue
 		}
-		f.send(m, ep)
-		f.fresh[ep] = 1
-		f.how.sent(f, ep)
+		eng.send(m, ep)
+		eng.batchSizes[ep] = 1
+		eng.strategy.onCallSent(eng, ep)
 		return true
 	}
 	return false
 }
 
-// inTurn lists a destination's endpoints, another one first each time, or as the strategy likes them.
-func (f *frame) inTurn(d *dest) []*endpoint {
+// endpointOrder returns the endpoints of a destination in the order in which they are tried: round robin, or cheapest
+// first if the strategy ranks them.
+func (eng *engine) endpointOrder(d *destination) []*endpoint {
 	if len(d.endpoints) < 2 {
 		return d.endpoints
 	}
-	n := d.next % len(d.endpoints)
+	n := d.rotation % len(d.endpoints)
 	list := append(slices.Clone(d.endpoints[n:]), d.endpoints[:n]...)
-	if own, ok := f.how.(interface{ price(*endpoint) float64 }); ok {
-		slices.SortStableFunc(list, func(a, b *endpoint) int { return cmp.Compare(own.price(a), own.price(b)) })
+	if ranker, ok := eng.strategy.(endpointRanker); ok {
+		slices.SortStableFunc(list, func(a, b *endpoint) int {
+			return cmp.Compare(ranker.callCost(a), ranker.callCost(b))
+		})
 	}
 	return list
 }
 
-func (f *frame) send(m *msg, ep *endpoint) {
-	m.tries++
-	m.out++
-	m.at = ep
-	if f.fresh[ep] == 0 || f.fresh[ep] >= ep.batch {
-		f.busy++
-		ep.calls++
+// send adds the action that sends a message. The message starts a new call if the latest one to the endpoint is full.
+func (eng *engine) send(m *message, ep *endpoint) {
+	m.attempts++
+	m.inFlight++
+	m.lastEndpoint = ep
+	m.leadsCall = eng.batchSizes[ep] == 0 || eng.batchSizes[ep] >= ep.batch
+	if m.leadsCall {
+		eng.busySlots++
+		ep.inFlight++
 	}
-	m.leads = f.fresh[ep] == 0 || f.fresh[ep] >= ep.batch
-	f.out = append(f.out, rules.Send{ID: m.id, Endpoint: ep.id, Timeout: f.how.timeout(m)})
+	eng.actions = append(eng.actions, rules.Send{ID: m.id, Endpoint: ep.id, Timeout: eng.strategy.timeout(m)})
 }
 
-// wake asks for the next step while anything is held.
-func (f *frame) wake() {
+// scheduleWakeUp requests the next step while messages are held.
+func (eng *engine) scheduleWakeUp() {
 	next := time.Duration(-1)
-	for _, m := range f.msgs {
-		if !m.over && (next < 0 || f.due(m) < next) {
-			next = f.due(m)
+	for _, m := range eng.messages {
+		if !m.finished && (next < 0 || eng.answerDeadline(m) < next) {
+			next = eng.answerDeadline(m)
 		}
 	}
-	if len(f.queue) > 0 {
-		next = min(next, f.now+10*f.set.Tick)
+	if len(eng.queue) > 0 {
+		next = min(next, eng.now+idleTicks*eng.settings.Tick)
 	}
-	if next < 0 || f.wakeAt > f.now && f.wakeAt <= next {
-		f.wakeAt = max(f.wakeAt, 0) // so that the registry is asked once
+	if next < 0 || eng.wakeAt > eng.now && eng.wakeAt <= next {
+		eng.wakeAt = max(eng.wakeAt, 0) // no longer negative: Watch is sent once only
 		return
 	}
-	f.wakeAt = max(next, f.now+f.set.Tick)
-	f.out = append(f.out, rules.WakeAfter{After: f.wakeAt - f.now})
+	eng.wakeAt = max(next, eng.now+eng.settings.Tick)
+	eng.actions = append(eng.actions, rules.WakeAfter{After: eng.wakeAt - eng.now})
 }
--- a/lab/baseline/once.go
+++ b/lab/baseline/once.go
@@ -1,4 +1,5 @@
-// This file owns the floor: one try for each message, in order of arrival.
+// This file owns the policy that marks the lower end of the comparison: one attempt for each message, in order of
+// arrival.
 
 package baseline
 
@@ -8,14 +9,14 @@
 	"eiderhaven/rules"
 )
 
-// Once returns the policy that tries each message once.
-func Once(set rules.Settings) *frame { return newFrame(set, once{}) }
+// Once returns the policy that sends each message once.
+func Once(set rules.Settings) *engine { return newEngine(set, once{}) }
 
 type once struct{}
 
-func (once) may(*frame, *msg, *endpoint) bool { return true }
-func (once) sent(*frame, *endpoint)           {}
-func (once) timeout(*msg) time.Duration       { return 0 }
-func (once) ended(*frame, *msg, *endpoint, rules.AttemptEnded) (bool, time.Duration) {
+func (once) maySend(*engine, *message, *endpoint) bool { return true }
+func (once) onCallSent(*engine, *endpoint)             {}
+func (once) timeout(*message) time.Duration            { return 0 }
+func (once) onAttemptEnded(*engine, *message, *endpoint, rules.AttemptEnded) (bool, time.Duration) {
 	return false, 0
 }
--- a/lab/baseline/oracle.go
+++ b/lab/baseline/oracle.go
@@ -1,6 +1,6 @@
-// This file owns the yardstick from above: a policy that sees the true state of every receiver, and what other senders have
-// on the way. No real sender can. It does not see the future, so it is no proof of what is possible, but what hardly
-// anything passes.
+// This file owns the oracle, the policy that marks the upper end of the comparison: it sees the true state of every
+// receiver and the calls in transit from all senders, which no real sender can. It does not see the future, so its
+// result is no proven upper bound, but hardly any policy exceeds it.
 
 package baseline
 
@@ -13,125 +13,143 @@
 	"eiderhaven/rules"
 )
 
-// Truth is what the oracle sees; one value is shared by all senders of a run, which therefore must not decide at once.
+// OracleView is what the oracle sees. All senders of a run share one value, so their steps must not run concurrently.
 type OracleView struct {
 	Endpoints   map[rules.EndpointID]*receiver.Endpoint
-	TransitTime time.Duration // a call may be on the way for so long
-	onWay       map[*receiver.Unit][]time.Duration
-	out         map[*receiver.Endpoint]int
+	TransitTime time.Duration                      // longest time that a call is in transit
+	inTransit   map[*receiver.Unit][]time.Duration // send times of calls that may not have arrived
+	inFlight    map[*receiver.Endpoint]int         // calls
 }
 
-// NewTruth returns the shared view of a run.
-func NewOracleView(endpoints map[rules.EndpointID]*receiver.Endpoint, way time.Duration) *OracleView {
-	return &OracleView{Endpoints: endpoints, TransitTime: way, onWay: map[*receiver.Unit][]time.Duration{}, out: map[*receiver.Endpoint]int{}}
+// NewOracleView returns the view that the senders of a run share.
+func NewOracleView(endpoints map[rules.EndpointID]*receiver.Endpoint, transitTime time.Duration) *OracleView {
+	return &OracleView{
+		Endpoints:   endpoints,
+		TransitTime: transitTime,
+		inTransit:   map[*receiver.Unit][]time.Duration{},
+		inFlight:    map[*receiver.Endpoint]int{},
+	}
 }
 
-// Oracle returns the policy that sees the truth.
-func Oracle(set rules.Settings, t *OracleView) *frame { return newFrame(set, &oracle{OracleView: t}) }
+// Oracle returns the policy that sees the true state of receivers.
+func Oracle(set rules.Settings, view *OracleView) *engine {
+	return newEngine(set, &oracle{OracleView: view})
+}
 
 type oracle struct {
 	*OracleView
-	waiting map[*dest]int // messages of a destination, in this step
+	waiting map[*destination]int // messages in the queue of this step, by destination
 	cancels []rules.Cancel
 }
 
 const (
-	ahead      = 1.3 // calls out at an endpoint over its servers: what is on the way must not leave one idle
-	muchSlower = 2   // an endpoint this many times slower than it was gets work only while slots are plenty
-	longCall   = 4 * time.Second
-)
+	// Calls in flight at an endpoint over its servers. It is above 1 so that the time in transit leaves no server idle.
+	inFlightFactor = 1.3
 
-// company is the part of its aim that a message waits for others, where calls hold several and are scarce.
-const company = 4
+	// An endpoint that is slower than usual by more than this factor gets calls only while at most half the slots are
+	// busy.
+	tooSlow = 2
+
+	// Timeout of an attempt. It ends attempts on connections that broke unnoticed; the oracle sees unresponsive endpoints
+	// itself.
+	hungCallTimeout = 4 * time.Second
+
+	// Where calls carry several messages and are scarce, a message waits up to this part of its aim for others.
+	batchWaitDivisor = 4
+)
 
-func (o *oracle) may(f *frame, m *msg, ep *endpoint) bool {
+func (o *oracle) maySend(eng *engine, m *message, ep *endpoint) bool {
 	x := o.Endpoints[ep.id]
-	if x == nil || !x.HasCapacity() || float64(o.out[x]) >= ahead*float64(x.Unit.Spec.Servers)+1 {
+	if x == nil || !x.HasCapacity() || float64(o.inFlight[x]) >= inFlightFactor*float64(x.Unit.Spec.Servers)+1 {
 		return false
 	}
-	if x.Slowdown > muchSlower && 2*f.busy > f.set.Slots {
-		return false // each of its calls would hold a slot that serves several elsewhere
+	if x.Slowdown > tooSlow && 2*eng.busySlots > eng.settings.Slots {
+		return false // a call would occupy a slot for the time of several calls elsewhere
 	}
-	way := o.onWay[x.Unit]
-	for len(way) > 0 && way[0] < f.now-o.TransitTime {
-		way = way[1:]
+	sent := o.inTransit[x.Unit]
+	for len(sent) > 0 && sent[0] < eng.now-o.TransitTime {
+		sent = sent[1:]
 	}
-	o.onWay[x.Unit] = way
-	n := float64(len(way) + 1)
-	if ep.batch > 1 && o.waiting[m.dest] < ep.batch && x.Unit.RemainingLimit(f.now) < n+1 &&
-		f.now-(m.deadline-m.class.Deadline) < m.class.Aim/company {
-		return false // the last free call is better full
+	o.inTransit[x.Unit] = sent
+	calls := float64(len(sent) + 1)
+	if ep.batch > 1 && o.waiting[m.destination] < ep.batch && x.Unit.RemainingLimit(eng.now) < calls+1 &&
+		eng.now-(m.deadline-m.class.Deadline) < m.class.Aim/batchWaitDivisor {
+		return false // only one call is left, so it should be full
 	}
-	return x.Unit.RemainingLimit(f.now) >= n && x.Unit.RemainingColdBudget(f.now) >= n
+	return x.Unit.RemainingLimit(eng.now) >= calls && x.Unit.RemainingColdBudget(eng.now) >= calls
 }
 
-func (o *oracle) sent(f *frame, ep *endpoint) {
+func (o *oracle) onCallSent(eng *engine, ep *endpoint) {
 	x := o.Endpoints[ep.id]
-	o.onWay[x.Unit] = append(o.onWay[x.Unit], f.now)
-	o.out[x]++
+	o.inTransit[x.Unit] = append(o.inTransit[x.Unit], eng.now)
+	o.inFlight[x]++
 }
 
-func (o *oracle) ended(_ *frame, m *msg, ep *endpoint, _ rules.AttemptEnded) (bool, time.Duration) {
-	if m.leads {
+func (o *oracle) onAttemptEnded(_ *engine, m *message, ep *endpoint, _ rules.AttemptEnded) (bool, time.Duration) {
+	if m.leadsCall {
 		x := o.Endpoints[ep.id]
-		o.out[x] = max(0, o.out[x]-1)
+		o.inFlight[x] = max(0, o.inFlight[x]-1)
 	}
 	return true, 0
 }
 
-// order puts first what can still earn its full worth, the dearer the sooner, and last what is late already.
-func (o *oracle) order(f *frame, queue []*msg) []*msg {
-	out := slices.Clone(queue)
-	o.waiting = map[*dest]int{}
+// sendOrder puts messages that can still earn their full worth first, then those that are late; within both, by worth
+// and then by deadline.
+func (o *oracle) sendOrder(eng *engine, queue []*message) []*message {
+	sorted := slices.Clone(queue)
+	o.waiting = map[*destination]int{}
 	for _, m := range queue {
-		o.waiting[m.dest]++
+		o.waiting[m.destination]++
 	}
-	late := func(m *msg) int {
-		if f.now > m.deadline-m.class.Deadline+m.class.Aim {
+	late := func(m *message) int {
+		if eng.now > m.deadline-m.class.Deadline+m.class.Aim {
 			return 1
 		}
 		return 0
 	}
-	slices.SortStableFunc(out, func(a, b *msg) int {
-		return cmp.Or(cmp.Compare(late(a), late(b)), cmp.Compare(b.class.Worth, a.class.Worth), cmp.Compare(a.deadline, b.deadline))
+	slices.SortStableFunc(sorted, func(a, b *message) int {
+		return cmp.Or(
+			cmp.Compare(late(a), late(b)),
+			cmp.Compare(b.class.Worth, a.class.Worth),
+			cmp.Compare(a.deadline, b.deadline),
+		)
 	})
-	return out
+	return sorted
 }
 
-// timeout ends what hangs on a connection that died unseen; endpoints that answer nothing are seen.
-func (o *oracle) timeout(m *msg) time.Duration {
+func (o *oracle) timeout(m *message) time.Duration {
 	if m.class.Effect == rules.AtMostOnce {
 		return 0
 	}
-	return longCall
+	return hungCallTimeout
 }
 
-// price is about how long a call would take.
-func (o *oracle) price(ep *endpoint) float64 {
+// callCost returns roughly how long a call would take, as a multiple of the usual time.
+func (o *oracle) callCost(ep *endpoint) float64 {
 	x := o.Endpoints[ep.id]
 	if x == nil {
 		return 0
 	}
-	return (1 + float64(o.out[x])/float64(x.Unit.Spec.Servers)) * x.Slowdown
+	return (1 + float64(o.inFlight[x])/float64(x.Unit.Spec.Servers)) * x.Slowdown
 }
 
-// giveUp calls off what is out at endpoints that are seen to answer nothing.
-func (o *oracle) giveUp(f *frame) {
-	if !f.set.MayCancel {
+// cancelUnresponsive cancels attempts at endpoints that answer nothing.
+func (o *oracle) cancelUnresponsive(eng *engine) {
+	if !eng.settings.MayCancel {
 		return
 	}
-	for _, m := range f.msgs {
-		if m.out == 0 || m.gaveUp == m.tries {
+	for _, m := range eng.messages {
+		if m.inFlight == 0 || m.cancelledAttempt == m.attempts {
 			continue
 		}
-		if x := o.Endpoints[m.at.id]; x != nil && (x.Unresponsive > 0 || x.Hanging > 0) {
-			m.gaveUp = m.tries
-			o.cancels = append(o.cancels, rules.Cancel{ID: m.id, Attempt: m.tries - 1})
+		if x := o.Endpoints[m.lastEndpoint.id]; x != nil && (x.Unresponsive > 0 || x.Hanging > 0) {
+			m.cancelledAttempt = m.attempts
+			o.cancels = append(o.cancels, rules.Cancel{ID: m.id, Attempt: m.attempts - 1})
 		}
 	}
 	slices.SortFunc(o.cancels, func(a, b rules.Cancel) int { return cmp.Compare(a.ID, b.ID) })
 	for _, c := range o.cancels {
-		f.out = append(f.out, c)
+		eng.actions = append(eng.actions, c)
 	}
 	o.cancels = o.cancels[:0]
 }
