--- a/lab/scenario/check.go
+++ b/lab/scenario/check.go
@@ -1,4 +1,4 @@
-// This file owns what is impossible in a scenario. It must never change a value, only name what is wrong with it.
+// This file owns the validation of a scenario. It must never change a value, only report what is wrong with it.
 
 package scenario
 
@@ -11,35 +11,39 @@
 	"eiderhaven/lab/random"
 )
 
-// checker collects faults.
-type checker struct{ faults Problems }
+// checker collects the problems of a scenario.
+type checker struct{ problems Problems }
 
+// add reports a problem with a key.
 func (c *checker) add(key, format string, args ...any) {
-	c.faults = append(c.faults, Problem{Key: key, Msg: fmt.Sprintf(format, args...)})
+	c.problems = append(c.problems, Problem{Key: key, Msg: fmt.Sprintf(format, args...)})
 }
 
-// within checks a number's range; NaN is in none.
+// within checks that a number lies in a range. NaN lies in none.
 func (c *checker) within(key string, x, low, high float64) {
 	if !(x >= low && x <= high) {
 		c.add(key, "%v is out of range: expected %v to %v", x, low, high)
 	}
 }
 
-func (c *checker) above(key string, x float64) {
+// positive checks that a number is finite and above 0.
+func (c *checker) positive(key string, x float64) {
 	if !(x > 0) || math.IsInf(x, 0) {
 		c.add(key, "%v is impossible: expected more than 0", x)
 	}
 }
 
-func (c *checker) span(key string, d, low, high Duration) {
+// duration checks that a duration lies in a range.
+func (c *checker) duration(key string, d, low, high Duration) {
 	if d < low || d > high {
 		c.add(key, "%v is out of range: expected %v to %v", d.D(), low.D(), high.D())
 	}
 }
 
-func (c *checker) oneOf(key, x string, words ...string) {
-	if !slices.Contains(words, x) {
-		c.add(key, "%q is unknown: expected %s", x, strings.Join(words, ", "))
+// oneOf checks that a string is one of the allowed values.
+func (c *checker) oneOf(key, x string, allowed ...string) {
+	if !slices.Contains(allowed, x) {
+		c.add(key, "%q is unknown: expected %s", x, strings.Join(allowed, ", "))
 	}
 }
 
@@ -48,20 +52,31 @@
 	hour   = 3600 * second
 )
 
-func (c *checker) times(key string, t Distribution) {
+const (
+	// Upper limits, well above any deployment: endpoints of one destination, and destinations of a scenario.
+	maxEndpoints    = 1_000_000
+	maxDestinations = 2_000_000
+
+	// Upper limit of the coefficient of variation of a lognormal distribution.
+	maxCV = 20
+)
+
+// distribution checks the parameters that the shape of a distribution uses.
+func (c *checker) distribution(key string, t Distribution) {
 	switch t.Dist {
 	case random.Constant:
-		c.span(key+".mean", t.Mean, 0, hour)
+		c.duration(key+".mean", t.Mean, 0, hour)
 	case random.Exponential:
-		c.span(key+".mean", t.Mean, 1, hour)
+		c.duration(key+".mean", t.Mean, 1, hour)
 	case random.Lognormal:
-		c.span(key+".mean", t.Mean, 1, hour)
-		if !(t.CV > 0 && t.CV <= 20) {
-			c.add(key+".cv", "%v is out of range: a lognormal distribution needs more than 0 and at most 20", t.CV)
+		c.duration(key+".mean", t.Mean, 1, hour)
+		if !(t.CV > 0 && t.CV <= maxCV) {
+			c.add(key+".cv", "%v is out of range: a lognormal distribution needs more than 0 and at most %d", t.CV, maxCV)
 		}
 	case random.Uniform:
 		if t.Low < 0 || t.High < t.Low || t.High == 0 {
-			c.add(key, "low %v and high %v make no range: expected 0 <= low <= high, high above 0", t.Low.D(), t.High.D())
+			c.add(key, "low %v and high %v are not a range: expected 0 <= low <= high, high above 0",
+				t.Low.D(), t.High.D())
 		}
 	case random.Histogram:
 		c.histogram(key, t)
@@ -72,17 +87,18 @@
 
 func (c *checker) histogram(key string, t Distribution) {
 	if len(t.Bounds) == 0 || len(t.Bounds) != len(t.Weights) {
-		c.add(key, "%d bounds and %d weights: a histogram needs as many of each, one at least", len(t.Bounds), len(t.Weights))
+		c.add(key, "%d bounds and %d weights: a histogram needs the same number of each, one at least",
+			len(t.Bounds), len(t.Weights))
 		return
 	}
 	sum := 0.0
 	for i, w := range t.Weights {
 		if !(w >= 0) || math.IsInf(w, 0) {
-			c.add(key+".weights", "%v is no weight: expected 0 or more", w)
+			c.add(key+".weights", "%v is not a weight: expected 0 or more", w)
 		}
 		sum += w
 		if t.Bounds[i] <= 0 || i > 0 && t.Bounds[i] <= t.Bounds[i-1] {
-			c.add(key+".bounds", "bounds must rise from above 0, found %v", t.Bounds[i].D())
+			c.add(key+".bounds", "bounds must be above 0 and increasing, found %v", t.Bounds[i].D())
 		}
 	}
 	if !(sum > 0) {
@@ -90,7 +106,7 @@
 	}
 }
 
-// check names all that is impossible.
+// check returns all problems of the scenario.
 func (s *Scenario) check() Problems {
 	c := &checker{}
 	if s.Version != Version {
@@ -99,11 +115,11 @@
 	if s.Name == "" || strings.ContainsAny(s.Name, "/\\ \t\n") {
 		c.add("name", "%q cannot name a folder: expected letters, digits and dashes", s.Name)
 	}
-	c.span("run.length", s.Run.Length, 0, 24*hour)
+	c.duration("run.length", s.Run.Length, 0, 24*hour)
 	if s.Run.MaxEvents == 0 {
 		c.add("run.max_events", "0 would stop every run at once: expected 1 or more")
 	}
-	c.span("run.window", s.Run.Window, second/100, hour)
+	c.duration("run.window", s.Run.Window, second/100, hour)
 	s.checkSenders(c)
 	s.checkSurroundings(c)
 	s.checkTraffic(c)
@@ -112,46 +128,46 @@
 	for i, t := range s.Troubles {
 		s.checkTrouble(c, fmt.Sprintf("trouble.%d", i), t)
 	}
-	return c.faults
+	return c.problems
 }
 
 func (s *Scenario) checkSenders(c *checker) {
 	x := s.Senders
 	c.within("senders.count", float64(x.Count), 1, 10_000)
 	c.within("senders.skew", x.Skew, 0, 5)
-	c.span("senders.tick", x.Tick, second/10_000, second)
+	c.duration("senders.tick", x.Tick, second/10_000, second)
 	c.within("senders.slots", float64(x.Slots), 1, 1e6)
 	c.within("senders.max_held", float64(x.MaxHeld), 1, 1e7)
 	c.within("senders.max_attempts", float64(x.MaxAttempts), 1, 1000)
-	c.span("senders.connect_timeout", x.ConnectTimeout, second/1000, hour)
-	c.span("senders.keep_alive", x.KeepAlive, 0, 24*hour)
-	c.span("senders.max_retry_after", x.MaxRetryAfter, 0, hour)
+	c.duration("senders.connect_timeout", x.ConnectTimeout, second/1000, hour)
+	c.duration("senders.keep_alive", x.KeepAlive, 0, 24*hour)
+	c.duration("senders.max_retry_after", x.MaxRetryAfter, 0, hour)
 	c.oneOf("senders.rates_listed", x.RatesListed, "none", "exact", "rough")
 	c.within("senders.zones", float64(x.Zones), 1, 100)
 }
 
 func (s *Scenario) checkSurroundings(c *checker) {
-	c.times("network.one_way", s.Network.OneWay)
-	c.span("network.cross_zone", s.Network.CrossZone, 0, 60*second)
+	c.distribution("network.one_way", s.Network.OneWay)
+	c.duration("network.cross_zone", s.Network.CrossZone, 0, 60*second)
 	c.within("network.handshakes", s.Network.Handshakes, 0, 100)
 	c.oneOf("registry.mode", s.Registry.Mode, "push", "ask")
-	c.times("registry.lag", s.Registry.Lag)
+	c.distribution("registry.lag", s.Registry.Lag)
 	if e := s.Registry.HealthEvery; e != 0 {
-		c.span("registry.health_every", e, second/100, hour)
+		c.duration("registry.health_every", e, second/100, hour)
 	}
 	r := s.Rules
-	c.span("rules.answer_grace", r.AnswerGrace, 0, hour)
-	c.span("rules.drain_grace", r.DrainGrace, 0, hour)
+	c.duration("rules.answer_grace", r.AnswerGrace, 0, hour)
+	c.duration("rules.drain_grace", r.DrainGrace, 0, hour)
 	if !(r.ColdShare > 0 && r.ColdShare <= 1) {
 		c.add("rules.cold_share", "%v is out of range: expected more than 0 and at most 1", r.ColdShare)
 	}
-	c.span("rules.warm_up", r.WarmUp, 0, hour)
-	c.span("rules.fall_window", r.FallWindow, second/100, hour)
+	c.duration("rules.warm_up", r.WarmUp, 0, hour)
+	c.duration("rules.fall_window", r.FallWindow, second/100, hour)
 	c.within("rules.overload_factor", r.OverloadFactor, 1, 1000)
 	c.within("rules.fall_chance", r.FallChance, 0, 10)
 	c.oneOf("rules.fall_term", r.FallTerm, "roots", "standing")
-	c.span("rules.order_pause", r.OrderPause, 0, hour)
-	c.span("rules.restart_grace", r.RestartGrace, 0, hour)
+	c.duration("rules.order_pause", r.OrderPause, 0, hour)
+	c.duration("rules.restart_grace", r.RestartGrace, 0, hour)
 	g := s.Goal
 	for key, w := range map[string]float64{"whole": g.Whole, "worst": g.Worst, "class": g.Class, "refuse": g.Refuse} {
 		c.within("goal."+key, w, 0, 100)
@@ -172,13 +188,13 @@
 	c.within("traffic.retries", float64(t.Retries), 0, 100)
 	c.within("traffic.follows", t.Follows, 0, 1)
 	c.within("traffic.max_messages", float64(t.MaxMessages), 0, 1e9)
-	c.times("traffic.retry_wait", t.RetryWait)
-	c.times("traffic.rescue", t.Rescue)
+	c.distribution("traffic.retry_wait", t.RetryWait)
+	c.distribution("traffic.rescue", t.Rescue)
 }
 
 func (s *Scenario) checkClasses(c *checker) {
 	if len(s.Classes) == 0 {
-		c.add("class", "there is none: expected one [[class]] table at least")
+		c.add("class", "there is none: expected at least one [[class]] table")
 	}
 	shares := 0.0
 	for i, x := range s.Classes {
@@ -190,12 +206,12 @@
 		shares += x.Share
 		c.oneOf(key+".effect", x.Effect, "safe", "keyed", "once")
 		c.oneOf(key+".scope", x.Scope, "destination", "zone", "endpoint")
-		c.span(key+".window", x.Window, 0, 24*hour)
-		c.span(key+".deadline", x.Deadline, 1, 24*hour)
-		c.span(key+".aim", x.Aim, 0, x.Deadline)
+		c.duration(key+".window", x.Window, 0, 24*hour)
+		c.duration(key+".deadline", x.Deadline, 1, 24*hour)
+		c.duration(key+".aim", x.Aim, 0, x.Deadline)
 		c.within(key+".worth", x.Worth, 0, 1e6)
 		c.within(key+".late_worth", x.LateWorth, 0, 1)
-		c.above(key+".work", x.Work)
+		c.positive(key+".work", x.Work)
 	}
 	if len(s.Classes) > 0 && shares <= 0 {
 		c.add("class", "all shares are 0: expected one above 0")
@@ -207,9 +223,6 @@
 	}
 }
 
-// mostEndpoints bounds the endpoints of one destination, well above any deployment's.
-const mostEndpoints = 1_000_000
-
 func (s *Scenario) checkKinds(c *checker) {
 	names := map[string]bool{}
 	total := 0
@@ -221,25 +234,30 @@
 		names[k.Name] = true
 		total += k.Destinations
 		c.within(key+".destinations", float64(k.Destinations), 1, 1e6)
-		if len(k.Endpoints) != 2 || k.Endpoints[0] < 1 || k.Endpoints[1] < k.Endpoints[0] || k.Endpoints[1] > mostEndpoints {
-			c.add(key+".endpoints", "%v: expected [least, most] with 1 <= least <= most <= %d", k.Endpoints, mostEndpoints)
+		if !validEndpointRange(k.Endpoints) {
+			c.add(key+".endpoints", "%v: expected [least, most] with 1 <= least <= most <= %d", k.Endpoints, maxEndpoints)
 		}
 		c.within(key+".weight", k.Weight, 0, 1e6)
 		c.within(key+".batch", float64(k.Batch), 1, 1000)
 		c.within(key+".batch_cost", k.BatchCost, 0, 10)
 		c.within(key+".servers", float64(k.Servers), 1, 1e6)
 		c.within(key+".queue", float64(k.Queue), 0, 1e6)
-		c.times(key+".service", k.Service)
+		c.distribution(key+".service", k.Service)
 		c.within(key+".spread", k.Spread, 0, 10)
 		c.within(key+".connections", float64(k.Connections), 0, 1e6)
 		c.oneOf(key+".drops", k.Drops, "none", "queued", "all")
 		s.checkLimit(c, key+".limit", k.Limit)
 	}
-	if total > 2_000_000 {
-		c.add("kind", "%d destinations in all: expected 2000000 at most", total)
+	if total > maxDestinations {
+		c.add("kind", "%d destinations in all: expected %d at most", total, maxDestinations)
 	}
 }
 
+// validEndpointRange reports whether a list is the least and the most endpoints of a destination.
+func validEndpointRange(list []int) bool {
+	return len(list) == 2 && 1 <= list[0] && list[0] <= list[1] && list[1] <= maxEndpoints
+}
+
 func (s *Scenario) checkLimit(c *checker, key string, l Limit) {
 	c.oneOf(key+".type", l.Type, "none", "rate", "window", "concurrent")
 	c.within(key+".tells", l.Tells, 0, 1)
@@ -250,7 +268,7 @@
 		c.add(key+".headroom", "a concurrent limit has no rate to scale: expected type rate or window, or no headroom")
 	case l.Headroom > 0:
 	case l.Type == "rate":
-		c.above(key+".rate", l.Rate)
+		c.positive(key+".rate", l.Rate)
 	case l.Type == "window" || l.Type == "concurrent":
 		c.within(key+".count", float64(l.Count), 1, 1e6)
 	}
@@ -258,7 +276,7 @@
 		c.within(key+".burst", l.Burst, 1, 1e6)
 	}
 	if l.Type == "window" {
-		c.span(key+".span", l.Span, second/100, hour)
+		c.duration(key+".span", l.Span, second/100, hour)
 	}
 }
 
@@ -266,12 +284,12 @@
 	if !slices.Contains(TroubleKinds(), t.Kind) {
 		c.add(key+".kind", "%q is unknown: expected one of %s", t.Kind, strings.Join(TroubleKinds(), ", "))
 	}
-	c.span(key+".at", t.At, 0, 24*hour)
-	c.span(key+".every", t.Every, 0, 24*hour)
+	c.duration(key+".at", t.At, 0, 24*hour)
+	c.duration(key+".every", t.Every, 0, 24*hour)
 	if t.Every > 0 && t.Every < second/10 {
 		c.add(key+".every", "%v is too often: expected 100ms or more, or 0 for once", t.Every.D())
 	}
-	c.span(key+".for", t.For, 0, 24*hour)
+	c.duration(key+".for", t.For, 0, 24*hour)
 	if !(t.Part > 0 && t.Part <= 1) {
 		c.add(key+".part", "%v is out of range: expected more than 0 and at most 1", t.Part)
 	}
@@ -280,37 +298,37 @@
 		c.add(key+".on", "no kind is named %q", t.On)
 	}
 	c.within(key+".size", t.Size, 0, 1e6)
-	c.span(key+".extra", t.Extra, 0, 24*hour)
-	if k := troubles[t.Kind]; k.check != nil {
+	c.duration(key+".extra", t.Extra, 0, 24*hour)
+	if k := troubleKinds[t.Kind]; k.check != nil {
 		if msg := k.check(t); msg != "" {
 			c.add(key, "%s", msg)
 		}
 	}
 }
 
-// TroubleForm is what the format knows of a kind of trouble.
+// troubleKind is a registered kind of fault.
 type troubleKind struct {
-	About string // what it does, what size and extra mean
-	check func(Trouble) string
+	about string               // what it does, and what size and extra mean
+	check func(Trouble) string // returns what is wrong with a fault of this kind, or ""; may be nil
 }
 
-var troubles = map[string]troubleKind{}
+var troubleKinds = map[string]troubleKind{}
 
-// RegisterTrouble makes a kind of trouble known to the format; check returns what is wrong with one, or "". It is called
-// by the file that implements the kind, before any scenario is read.
+// RegisterTrouble adds a kind of fault to the format. about describes it; check returns what is wrong with a fault of
+// the kind, or "". The file that implements the kind calls it before any scenario is read.
 func RegisterTrouble(kind, about string, check func(Trouble) string) {
-	troubles[kind] = troubleKind{About: about, check: check}
+	troubleKinds[kind] = troubleKind{about: about, check: check}
 }
 
-// TroubleKinds lists the kinds of trouble, sorted.
+// TroubleKinds returns the registered kinds of fault, sorted.
 func TroubleKinds() []string {
 	var names []string
-	for name := range troubles {
+	for name := range troubleKinds {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	return names
 }
 
-// AboutTrouble says what a kind of trouble does.
-func AboutTrouble(kind string) string { return troubles[kind].About }
+// AboutTrouble returns the description of a kind of fault.
+func AboutTrouble(kind string) string { return troubleKinds[kind].about }
--- a/lab/scenario/read.go
+++ b/lab/scenario/read.go
@@ -1,5 +1,5 @@
-// This file owns reading: defaults, strict decoding, and where in the file a fault stands. It must never accept a key
-// that nothing reads.
+// This file owns reading of scenario files: defaults, strict decoding, and the line of each problem. It must never
+// accept a key that nothing reads.
 
 package scenario
 
@@ -18,12 +18,12 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Fault is one thing wrong with a file.
+// Problem is one error in a scenario file.
 type Problem struct {
 	File string
 	Line int    // 0 if unknown
-	Key  string // dotted, array tables by number from 0
-	Msg  string // what was found and what was expected
+	Key  string // dotted; items of array tables by number from 0
+	Msg  string // what was found, and what was expected
 }
 
 func (f Problem) Error() string {
@@ -37,18 +37,18 @@
 	return where + ": " + f.Msg
 }
 
-// Faults are all the things wrong with a file, in the file's order.
+// Problems are all errors of a scenario file.
 type Problems []Problem
 
-func (fs Problems) Error() string {
-	lines := make([]string, len(fs))
-	for i, f := range fs {
+func (problems Problems) Error() string {
+	lines := make([]string, len(problems))
+	for i, f := range problems {
 		lines[i] = f.Error()
 	}
 	return strings.Join(lines, "\n")
 }
 
-// Load reads a file. What it returns passed every check; an error is Faults, or tells that the file cannot be read.
+// Load reads a scenario file and checks it. The error is of type Problems, unless the file cannot be read.
 func Load(path string) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -57,52 +57,53 @@
 	return Parse(path, text)
 }
 
-// Parse reads a file's text; name is used in errors.
+// Parse reads and checks the text of a scenario file. Errors refer to the file by the given name.
 func Parse(name string, text []byte) (*Scenario, error) {
 	s := &Scenario{}
 	setDefaults(reflect.ValueOf(s).Elem())
 	dec := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
 	if err := dec.Decode(s); err != nil {
-		return nil, decodeFaults(name, err)
+		return nil, decodeProblems(name, err)
 	}
 	lines := keyLines(text)
-	s.fillLists(lines)
-	s.fillTimes(lines)
-	faults := append(bareNumbers(lines), s.check()...)
-	for i := range faults {
-		faults[i].File, faults[i].Line = name, lines.find(faults[i].Key)
+	s.setListDefaults(lines)
+	s.setDistributionDefaults(lines)
+	problems := append(bareNumbers(lines), s.check()...)
+	for i := range problems {
+		problems[i].File, problems[i].Line = name, lines.find(problems[i].Key)
 	}
-	if len(faults) > 0 {
-		return nil, faults
+	if len(problems) > 0 {
+		return nil, problems
 	}
 	return s, nil
 }
 
-// Text writes a scenario as a file that Parse reads back to the same.
+// Encode returns the text of a file from which Parse reads an equal scenario.
 func (s *Scenario) Encode() ([]byte, error) { return toml.Marshal(s) }
 
-func decodeFaults(name string, err error) error {
-	var strict *toml.StrictMissingError
-	if errors.As(err, &strict) {
-		var fs Problems
-		for i := range strict.Errors {
-			e := &strict.Errors[i]
+// decodeProblems converts an error of the decoder.
+func decodeProblems(name string, err error) error {
+	var missing *toml.StrictMissingError
+	if errors.As(err, &missing) {
+		var problems Problems
+		for i := range missing.Errors {
+			e := &missing.Errors[i]
 			line, _ := e.Position()
-			fs = append(fs, Problem{File: name, Line: line, Key: strings.Join(e.Key(), "."),
-				Msg: "unknown key; 'eiderlab scenario keys' lists those there are"})
+			problems = append(problems, Problem{File: name, Line: line, Key: strings.Join(e.Key(), "."),
+				Msg: "unknown key; 'eiderlab scenario keys' lists the known ones"})
 		}
-		return fs
+		return problems
 	}
-	var one *toml.DecodeError
-	if errors.As(err, &one) {
-		line, _ := one.Position()
-		return Problems{{File: name, Line: line, Key: strings.Join(one.Key(), "."),
-			Msg: strings.TrimPrefix(one.Error(), "toml: ")}}
+	var decodeErr *toml.DecodeError
+	if errors.As(err, &decodeErr) {
+		line, _ := decodeErr.Position()
+		return Problems{{File: name, Line: line, Key: strings.Join(decodeErr.Key(), "."),
+			Msg: strings.TrimPrefix(decodeErr.Error(), "toml: ")}}
 	}
 	return Problems{{File: name, Msg: err.Error()}}
 }
 
-// setDefaults sets the fields that have a default, of a struct and of those within it.
+// setDefaults sets the fields with a default in a struct and the structs within it.
 func setDefaults(v reflect.Value) {
 	for i := range v.NumField() {
 		f, text := v.Field(i), v.Type().Field(i).Tag.Get("default")
@@ -110,14 +111,16 @@
 			setDefaults(f)
 		}
 		if text != "" {
-			if err := setText(f, text); err != nil {
-				panic("scenario: default of " + v.Type().Field(i).Name + ": " + err.Error()) // a fault of this package, found by its tests
+			if err := setFromText(f, text); err != nil {
+				// A mistake in a tag of this package, which any of its tests finds.
+				panic("scenario: default of " + v.Type().Field(i).Name + ": " + err.Error())
 			}
 		}
 	}
 }
 
-func setText(f reflect.Value, text string) error {
+// setFromText sets a field to the value of a default tag.
+func setFromText(f reflect.Value, text string) error {
 	if d, ok := f.Addr().Interface().(*Duration); ok {
 		return d.UnmarshalText([]byte(text))
 	}
@@ -138,7 +141,7 @@
 		x, err := strconv.ParseFloat(text, 64)
 		f.SetFloat(x)
 		return err
-	case reflect.Slice: // the only lists with a default are of whole numbers
+	case reflect.Slice: // only lists of whole numbers have a default
 		var list struct{ X []int }
 		err := toml.Unmarshal([]byte("X = "+text), &list)
 		f.Set(reflect.ValueOf(list.X))
@@ -149,59 +152,62 @@
 	return nil
 }
 
-// fillLists sets the defaults of tables in lists, for the keys that the file does not name: the decoder makes them empty.
-func (s *Scenario) fillLists(lines positions) {
-	fill := func(list reflect.Value, name string) {
+// setListDefaults sets the defaults of keys that the file leaves out in array tables, whose items the decoder creates
+// empty.
+func (s *Scenario) setListDefaults(lines keyPositions) {
+	setAll := func(list reflect.Value, name string) {
 		for i := range list.Len() {
-			fillStruct(list.Index(i), fmt.Sprintf("%s.%d", name, i), lines)
+			setItemDefaults(list.Index(i), fmt.Sprintf("%s.%d", name, i), lines)
 		}
 	}
-	fill(reflect.ValueOf(s.Classes), "class")
-	fill(reflect.ValueOf(s.Kinds), "kind")
-	fill(reflect.ValueOf(s.Tenants), "tenant")
-	fill(reflect.ValueOf(s.Troubles), "trouble")
+	setAll(reflect.ValueOf(s.Classes), "class")
+	setAll(reflect.ValueOf(s.Kinds), "kind")
+	setAll(reflect.ValueOf(s.Tenants), "tenant")
+	setAll(reflect.ValueOf(s.Troubles), "trouble")
 }
 
-func fillStruct(v reflect.Value, path string, lines positions) {
+// setItemDefaults sets the defaults of keys that the file leaves out in one item of an array table.
+func setItemDefaults(v reflect.Value, path string, lines keyPositions) {
 	for i := range v.NumField() {
 		f, field := v.Field(i), v.Type().Field(i)
 		key := path + "." + tomlName(field)
 		if f.Kind() == reflect.Struct {
-			fillStruct(f, key, lines)
+			setItemDefaults(f, key, lines)
 			continue
 		}
 		if text := field.Tag.Get("default"); text != "" && lines[key] == 0 {
-			_ = setText(f, text) // defaults are checked by setDefaults's panic in the tests
+			_ = setFromText(f, text) // setDefaults panics on the same error
 		}
 	}
 }
 
-// fillTimes gives distributions that were left out their defaults.
-func (s *Scenario) fillTimes(lines positions) {
-	or := func(t *Distribution, key string, mean Duration) {
+// setDistributionDefaults sets the mean of distributions that the file leaves out.
+func (s *Scenario) setDistributionDefaults(lines keyPositions) {
+	setMean := func(t *Distribution, key string, mean Duration) {
 		if lines[key] == 0 {
 			t.Mean = mean
 		}
 	}
-	or(&s.Network.OneWay, "network.one_way", second/1000)
-	or(&s.Traffic.RetryWait, "traffic.retry_wait", second/2)
-	or(&s.Traffic.Rescue, "traffic.rescue", second)
+	setMean(&s.Network.OneWay, "network.one_way", second/1000)
+	setMean(&s.Traffic.RetryWait, "traffic.retry_wait", second/2)
+	setMean(&s.Traffic.Rescue, "traffic.rescue", second)
 	for i := range s.Kinds {
-		or(&s.Kinds[i].Service, fmt.Sprintf("kind.%d.service", i), second/10)
+		setMean(&s.Kinds[i].Service, fmt.Sprintf("kind.%d.service", i), second/10)
 	}
 }
 
+// tomlName returns the key of a field.
 func tomlName(f reflect.StructField) string {
 	name, _, _ := strings.Cut(f.Tag.Get("toml"), ",")
 	return name
 }
 
-// positions maps a dotted key to its line; array tables are numbered from 0. Under the same key with a '#' behind it stands
-// the line again if the value is a bare number.
-type positions map[string]int
+// keyPositions maps a dotted key to its line; items of array tables are numbered from 0. If the value is a bare number,
+// the line is also stored under the key with a '#' appended.
+type keyPositions map[string]int
 
-// bareNumbers finds durations written without a unit, which the decoder would take for nanoseconds.
-func bareNumbers(lines positions) Problems {
+// bareNumbers returns the durations without a unit, which the decoder would read as nanoseconds.
+func bareNumbers(lines keyPositions) Problems {
 	durations := map[string]bool{}
 	for _, k := range Keys() {
 		switch k.Type {
@@ -215,18 +221,21 @@
 			}
 		}
 	}
-	var fs Problems
+	var problems Problems
 	for _, name := range slices.Sorted(maps.Keys(lines)) {
 		key, bare := strings.CutSuffix(name, "#")
-		if bare && durations[anyItem(key)] {
-			fs = append(fs, Problem{Key: key, Msg: "a bare number: expected a number with a unit, such as \"250ms\""})
+		if bare && durations[withoutItemNumbers(key)] {
+			problems = append(problems, Problem{
+				Key: key,
+				Msg: "a bare number: expected a number with a unit, such as \"250ms\"",
+			})
 		}
 	}
-	return fs
+	return problems
 }
 
-// anyItem turns the key of a list's item into that of any of its items: "kind.0.servers" into "kind[].servers".
-func anyItem(key string) string {
+// withoutItemNumbers replaces the number of a list item in a key: "kind.0.servers" becomes "kind[].servers".
+func withoutItemNumbers(key string) string {
 	parts := strings.Split(key, ".")
 	out := parts[0]
 	for _, part := range parts[1:] {
@@ -239,8 +248,8 @@
 	return out
 }
 
-// find returns the line of a key, or of the nearest thing around it.
-func (p positions) find(key string) int {
+// find returns the line of a key, or of the innermost table around it that has one, or 0.
+func (p keyPositions) find(key string) int {
 	for key != "" {
 		if line := p[key]; line > 0 {
 			return line
@@ -254,9 +263,9 @@
 	return 0
 }
 
-// keyLines finds where keys stand. It reads a text that the decoder has accepted.
-func keyLines(text []byte) positions {
-	p := positions{}
+// keyLines returns the lines of all keys in a text that the decoder has accepted.
+func keyLines(text []byte) keyPositions {
+	p := keyPositions{}
 	var parser unstable.Parser
 	parser.Reset(text)
 	table, counts := "", map[string]int{}
@@ -264,51 +273,54 @@
 		e := parser.Expression()
 		switch e.Kind {
 		case unstable.Table, unstable.ArrayTable:
-			name, line := dotted(&parser, e.Key())
+			name, line := dottedKey(&parser, e.Key())
 			if e.Kind == unstable.ArrayTable {
 				n := counts[name]
 				counts[name]++
 				name = fmt.Sprintf("%s.%d", name, n)
 			} else if first, rest, ok := strings.Cut(name, "."); ok && counts[first] > 0 {
-				name = fmt.Sprintf("%s.%d.%s", first, counts[first]-1, rest) // a table within the latest of a list
+				name = fmt.Sprintf("%s.%d.%s", first, counts[first]-1, rest) // a table within the latest list item
 			}
 			table = name
 			p[name] = line
 		case unstable.KeyValue:
-			p.keyValue(&parser, table, e)
+			p.addKeyValue(&parser, table, e)
 		}
 	}
 	return p
 }
 
-func (p positions) keyValue(parser *unstable.Parser, table string, e *unstable.Node) {
-	name, line := dotted(parser, e.Key())
+// addKeyValue adds a key in a table and the keys within its value.
+func (p keyPositions) addKeyValue(parser *unstable.Parser, table string, e *unstable.Node) {
+	name, line := dottedKey(parser, e.Key())
 	if table != "" {
 		name = table + "." + name
 	}
 	p[name] = line
-	p.value(parser, name, e.Value())
+	p.addValue(parser, name, e.Value())
 }
 
-func (p positions) value(parser *unstable.Parser, name string, v *unstable.Node) {
+// addValue adds the keys within a value.
+func (p keyPositions) addValue(parser *unstable.Parser, name string, v *unstable.Node) {
 	switch v.Kind {
 	case unstable.Integer, unstable.Float:
 		p[name+"#"] = p[name]
 	case unstable.InlineTable:
 		for it := v.Children(); it.Next(); {
 			if n := it.Node(); n.Kind == unstable.KeyValue {
-				p.keyValue(parser, name, n)
+				p.addKeyValue(parser, name, n)
 			}
 		}
 	case unstable.Array:
 		i := 0
 		for it := v.Children(); it.Next(); i++ {
-			p.value(parser, fmt.Sprintf("%s.%d", name, i), it.Node())
+			p.addValue(parser, fmt.Sprintf("%s.%d", name, i), it.Node())
 		}
 	}
 }
 
-func dotted(parser *unstable.Parser, it unstable.Iterator) (string, int) {
+// dottedKey returns a key as a dotted string, and the line of its last part.
+func dottedKey(parser *unstable.Parser, it unstable.Iterator) (string, int) {
 	var parts []string
 	line := 0
 	for it.Next() {
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -1,8 +1,8 @@
-// Package scenario owns the format of the lab's scenario files: the keys, their units, their defaults and what is
-// refused. It must never run anything, and never guess what a wrong file meant.
+// Package scenario defines the format of the lab's scenario files: the keys, their units, defaults and valid values. It
+// must never run a scenario, and never guess what an invalid file means.
 //
-// Every key is documented where it is declared, by the tags doc and default; Keys reads them, and docs/lab-scenario.md
-// is printed from there.
+// Each key is documented where it is declared, by the tags doc and default. Keys returns them, and docs/lab-scenario.md
+// is generated from that.
 package scenario
 
 import (
@@ -13,17 +13,17 @@
 	"eiderhaven/lab/random"
 )
 
-// Version is the format that this package reads.
+// Version is the version of the format that this package reads.
 const Version = 1
 
-// Duration is a time in a file: a number with its unit, such as "250ms" or "1m30s".
+// Duration is a duration in a scenario file: a number with its unit, such as "250ms" or "1m30s".
 type Duration time.Duration
 
-// UnmarshalText reads a duration; a bare number is refused, as its unit would be a guess.
+// UnmarshalText reads a duration. A bare number is an error, as its unit would be a guess.
 func (d *Duration) UnmarshalText(text []byte) error {
 	x, err := time.ParseDuration(string(text))
 	if err != nil {
-		return fmt.Errorf("%q is no duration: expected a number with a unit, such as \"250ms\", \"2.5s\" or \"1m\"", text)
+		return fmt.Errorf("%q is not a duration: expected a number with a unit, such as \"250ms\", \"2.5s\" or \"1m\"", text)
 	}
 	*d = Duration(x)
 	return nil
@@ -32,10 +32,10 @@
 // MarshalText writes the duration in the form that UnmarshalText reads.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// D is the duration as Go has it.
+// D returns the duration as a time.Duration.
 func (d Duration) D() time.Duration { return time.Duration(d) }
 
-// Times is a distribution of durations in a file.
+// Distribution is a distribution of durations in a scenario file.
 type Distribution struct {
 	Dist    random.Shape `toml:"dist" doc:"constant, exponential, lognormal, uniform or histogram" default:"constant"`
 	Mean    Duration     `toml:"mean,omitempty" doc:"mean, for constant, exponential and lognormal"`
@@ -46,7 +46,7 @@
 	Weights []float64    `toml:"weights,omitempty" doc:"for histogram: weight of each step"`
 }
 
-// Random is the distribution as package random draws it.
+// Random returns the distribution to draw from.
 func (t Distribution) Random() random.Distribution {
 	switch t.Dist {
 	case random.Exponential:
@@ -65,7 +65,7 @@
 	return random.NewConstant(t.Mean.D())
 }
 
-// Scenario is one day to play.
+// Scenario describes a run: receivers, senders, traffic, faults and how the result is scored.
 type Scenario struct {
 	Version  int       `toml:"version" doc:"version of this format, 1" default:"1"`
 	Name     string    `toml:"name" doc:"short name; it names result folders" default:"unnamed"`
@@ -83,14 +83,14 @@
 	Goal     Goal      `toml:"goal" doc:"how the parts of a day weigh in its figure G"`
 }
 
-// Run bounds a run.
+// Run holds the length and the limits of a run.
 type Run struct {
 	Length    Duration `toml:"length" doc:"how long clients hand in messages; the run goes on until all has ended" default:"1m"`
 	MaxEvents uint64   `toml:"max_events" doc:"a run stops with a report at this many events" default:"200000000"`
 	Window    Duration `toml:"window" doc:"step of the series over time" default:"1s"`
 }
 
-// Senders describes the senders.
+// Senders describes the senders and their limits.
 type Senders struct {
 	Count          int      `toml:"count" doc:"how many senders" default:"3"`
 	Skew           float64  `toml:"skew" doc:"how unevenly clients use senders: weights fall with rank to this power" default:"0"`
@@ -107,21 +107,21 @@
 	Zones          int      `toml:"zones" doc:"zones that senders and endpoints are spread over" default:"1"`
 }
 
-// Network describes the way between senders and receivers.
+// Network describes the network between senders and receivers.
 type Network struct {
 	OneWay     Distribution `toml:"one_way" doc:"time from one side to the other"`
 	CrossZone  Duration     `toml:"cross_zone" doc:"added to each way between zones" default:"0s"`
 	Handshakes float64      `toml:"handshakes" doc:"round trips that opening a connection takes" default:"1"`
 }
 
-// Registry describes how senders hear of endpoints.
+// Registry describes how senders learn of endpoints.
 type Registry struct {
 	Mode        string       `toml:"mode" doc:"push: changes come unasked; ask: only after a sender watches" default:"push"`
 	Lag         Distribution `toml:"lag" doc:"time from a change to when a sender hears of it, drawn for each sender"`
 	HealthEvery Duration     `toml:"health_every" doc:"the registry calls each endpoint's health this often and lists one that failed twice as draining; 0: never" default:"0s"`
 }
 
-// Rules holds the figures of the six rules.
+// Rules holds the parameters of the six delivery rules.
 type Rules struct {
 	AnswerGrace    Duration `toml:"answer_grace" doc:"a final answer counts this long after the deadline" default:"20ms"`
 	DrainGrace     Duration `toml:"drain_grace" doc:"nothing new to an endpoint this long after the sender heard that it drains or is gone" default:"500ms"`
@@ -135,7 +135,7 @@
 	RestartGrace   Duration `toml:"restart_grace" doc:"after a restart with state, an end that fell due meanwhile may come this much later" default:"1500ms"`
 }
 
-// Traffic describes what clients hand in.
+// Traffic describes the messages that clients submit.
 type Traffic struct {
 	Rate        float64      `toml:"rate" doc:"first tries a second, over all senders; 0: no traffic" default:"50"`
 	Arrivals    string       `toml:"arrivals" doc:"poisson, or even (equal gaps)" default:"poisson"`
@@ -165,7 +165,7 @@
 	Work      float64  `toml:"work" doc:"service time, as a multiple of the kind's" default:"1"`
 }
 
-// Limit is what a destination, or a route, takes from all senders together.
+// Limit is the limit on the calls of all senders together to a destination, or to a route.
 type Limit struct {
 	Type     string   `toml:"type" doc:"none, rate (calls a second), window (a count in each span) or concurrent (calls at once)" default:"none"`
 	Rate     float64  `toml:"rate" doc:"for rate: calls a second" default:"0"`
@@ -198,14 +198,14 @@
 	Limit        Limit        `toml:"limit" doc:"the limit"`
 }
 
-// Tenant is a party that hands in messages.
+// Tenant is a party that submits messages.
 type Tenant struct {
 	Name  string  `toml:"name" doc:"name, used in reports"`
 	Share float64 `toml:"share" doc:"share of the messages" default:"1"`
 	Quota float64 `toml:"quota" doc:"messages a second within its share; 0: none" default:"0"`
 }
 
-// Trouble is something that goes wrong, once at a stated time or again and again at drawn times.
+// Trouble is a fault: it starts once at a given time, or repeatedly at random times.
 type Trouble struct {
 	Kind  string   `toml:"kind" doc:"what goes wrong; 'eiderlab troubles' lists the kinds, and what size and extra mean for each"`
 	At    Duration `toml:"at" doc:"when it starts" default:"0s"`
@@ -219,7 +219,7 @@
 	Extra Duration `toml:"extra" doc:"a further time, see the kind" default:"0s"`
 }
 
-// Goal says how the parts of a day weigh in its figure.
+// Goal holds the weights of the parts of a run in its score G.
 type Goal struct {
 	Whole  float64 `toml:"whole" doc:"weight of the whole day" default:"1"`
 	Worst  float64 `toml:"worst" doc:"weight of the worst ten seconds" default:"0"`
@@ -227,7 +227,7 @@
 	Refuse float64 `toml:"refuse" doc:"taken off for refused calls, times refused calls over first tries" default:"0"`
 }
 
-// Destinations is how many destinations the scenario has.
+// DestinationCount returns the number of destinations of the scenario.
 func (s *Scenario) DestinationCount() int {
 	n := 0
 	for _, k := range s.Kinds {
@@ -236,9 +236,10 @@
 	return n
 }
 
-// DestinationWeights returns the traffic weight of each destination, kind by kind. Within a kind the weights fall with
-// rank; a kind's first destination is its busiest. They sum to 1.
+// DestinationWeights returns the traffic weight of each destination, kind by kind. Within a kind the weights decrease,
+// so that its first destination is the busiest. All weights sum to 1.
 func (s *Scenario) DestinationWeights() []float64 {
+	const minWeightSum = 1e-12 // avoids a division by 0 if no kind has traffic
 	var w []float64
 	var sum float64
 	for _, k := range s.Kinds {
@@ -249,12 +250,12 @@
 		}
 	}
 	for i := range w {
-		w[i] /= max(sum, 1e-12)
+		w[i] /= max(sum, minWeightSum)
 	}
 	return w
 }
 
-// Endpoints draws how many endpoints a destination of the kind has.
+// DrawEndpoints draws the number of endpoints of a destination of the kind.
 func (k *Kind) DrawEndpoints(r *rand.Rand) int {
 	if len(k.Endpoints) < 2 || k.Endpoints[1] <= k.Endpoints[0] {
 		return max(1, k.Endpoints[0])
--- a/lab/scenario/set.go
+++ b/lab/scenario/set.go
@@ -1,5 +1,5 @@
-// This file owns changes to a scenario by key, for the command line and for sweeps, and the list of keys. It must never
-// bypass the checks that a file passes.
+// This file owns changes of a scenario by key, for the command line and for sweeps, and the list of keys. A changed
+// scenario must pass the same checks as a file.
 
 package scenario
 
@@ -12,8 +12,9 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Set returns a copy of the scenario with one key changed. The key is dotted; an item of a list is named by its number
-// from 0, or by its name ("kind.partners.servers"). The value is written as in a file; a bare word counts as a string.
+// Set returns a copy of the scenario with one key changed. The key is dotted; an item of a list is selected by its
+// number from 0, or by its name or kind ("kind.partners.servers"). The value is written as in a file; a word without
+// quotes is a string.
 func (s *Scenario) Set(key, value string) (*Scenario, error) {
 	text, err := s.Encode()
 	if err != nil {
@@ -23,7 +24,7 @@
 	if err := toml.Unmarshal(text, &tree); err != nil {
 		return nil, err
 	}
-	if err := setIn(tree, strings.Split(key, "."), parseValue(value)); err != nil {
+	if err := setPath(tree, strings.Split(key, "."), parseValue(value)); err != nil {
 		return nil, fmt.Errorf("--set %s=%s: %w", key, value, err)
 	}
 	text, err = toml.Marshal(tree)
@@ -31,15 +32,16 @@
 		return nil, err
 	}
 	out, err := Parse("--set "+key+"="+value, text)
-	if fs, ok := err.(Problems); ok { // the lines are those of a text that nobody sees
-		for i := range fs {
-			fs[i].Line = 0
+	if problems, ok := err.(Problems); ok {
+		for i := range problems {
+			problems[i].Line = 0 // a line of the generated text, which the user does not see
 		}
-		return nil, fs
+		return nil, problems
 	}
 	return out, err
 }
 
+// parseValue returns the TOML value of a text, or the text itself if it is none.
 func parseValue(text string) any {
 	var v struct{ X any }
 	if err := toml.Unmarshal([]byte("X = "+text), &v); err == nil {
@@ -48,7 +50,8 @@
 	return text
 }
 
-func setIn(node any, path []string, value any) error {
+// setPath sets the value at a path in a tree of decoded TOML. The key must exist.
+func setPath(node any, path []string, value any) error {
 	switch n := node.(type) {
 	case map[string]any:
 		if len(path) == 1 {
@@ -56,7 +59,7 @@
 			if !known {
 				return fmt.Errorf("there is no key %q here", path[0])
 			}
-			if _, float := old.(float64); float { // 3 for 3.0 is no mistake
+			if _, float := old.(float64); float { // 3 may be written for 3.0
 				if i, ok := value.(int64); ok {
 					value = float64(i)
 				}
@@ -68,7 +71,7 @@
 		if !known {
 			return fmt.Errorf("there is no key %q here", path[0])
 		}
-		return setIn(next, path[1:], value)
+		return setPath(next, path[1:], value)
 	case []any:
 		if len(path) < 2 {
 			return fmt.Errorf("expected a key after %q", path[0])
@@ -76,7 +79,7 @@
 		for i, item := range n {
 			table, _ := item.(map[string]any)
 			if path[0] == strconv.Itoa(i) || table != nil && (table["name"] == path[0] || table["kind"] == path[0]) {
-				return setIn(item, path[1:], value)
+				return setPath(item, path[1:], value)
 			}
 		}
 		return fmt.Errorf("there is no item %q in the list", path[0])
@@ -84,15 +87,16 @@
 	return fmt.Errorf("%q is not a table", path[0])
 }
 
-// Key is one key of the format, for its documentation.
+// Key describes one key of the format, for its documentation.
 type Key struct {
 	Name, Type, Default, Doc string
 }
 
-// Keys lists the format's keys in the order of the declarations.
-func Keys() []Key { return keysOf("", reflect.TypeFor[Scenario]()) }
+// Keys returns the keys of the format in the order of their declarations.
+func Keys() []Key { return structKeys("", reflect.TypeFor[Scenario]()) }
 
-func keysOf(prefix string, t reflect.Type) []Key {
+// structKeys returns the keys of a struct and of the structs within it.
+func structKeys(prefix string, t reflect.Type) []Key {
 	var keys []Key
 	for i := range t.NumField() {
 		f := t.Field(i)
@@ -102,19 +106,20 @@
 		}
 		keys = append(keys, k)
 		switch {
-		case f.Type == reflect.TypeFor[Distribution](): // described once, under its own heading
+		case f.Type == reflect.TypeFor[Distribution](): // its keys are returned by DistributionKeys
 		case f.Type.Kind() == reflect.Struct:
-			keys = append(keys, keysOf(k.Name+".", f.Type)...)
+			keys = append(keys, structKeys(k.Name+".", f.Type)...)
 		case f.Type.Kind() == reflect.Slice && f.Type.Elem().Kind() == reflect.Struct:
-			keys = append(keys, keysOf(k.Name+"[].", f.Type.Elem())...)
+			keys = append(keys, structKeys(k.Name+"[].", f.Type.Elem())...)
 		}
 	}
 	return keys
 }
 
-// TimesKeys lists the keys of a distribution.
-func DistributionKeys() []Key { return keysOf("", reflect.TypeFor[Distribution]()) }
+// DistributionKeys returns the keys of a distribution.
+func DistributionKeys() []Key { return structKeys("", reflect.TypeFor[Distribution]()) }
 
+// typeName returns the name of a type in the documentation of keys.
 func typeName(t reflect.Type) string {
 	switch {
 	case t == reflect.TypeFor[Duration]():
--- a/lab/trouble/crash.go
+++ b/lab/trouble/crash.go
@@ -1,3 +1,5 @@
+// This file owns the fault "crash": receiver processes die and restart cold.
+
 package trouble
 
 import (
@@ -7,7 +9,7 @@
 
 func init() {
 	register("crash", "processes die and come back cold: calls are reset, connects refused", nil,
-		onEndpoints(always,
+		perEndpoint(always,
 			func(ep *receiver.Endpoint, _ scenario.Trouble) { ep.Crash() },
 			func(ep *receiver.Endpoint, _ scenario.Trouble) { ep.Restart() }))
 }
--- a/lab/trouble/drain.go
+++ b/lab/trouble/drain.go
@@ -1,3 +1,5 @@
+// This file owns the fault "drain": endpoints are drained and replaced, one after another.
+
 package trouble
 
 import (
@@ -11,34 +13,34 @@
 
 func init() {
 	register("drain", "endpoints are drained one after another over the trouble's length, and replaced by new ones; extra: how long each drains before it goes", nil,
-		func(st *Environment, t scenario.Trouble, r *rand.Rand) func() {
-			eps := st.endpoints(t, r)
+		func(env *Environment, t scenario.Trouble, r *rand.Rand) func() {
+			eps := env.selectEndpoints(t, r)
 			for i, ep := range eps {
 				at := time.Duration(float64(t.For) * float64(i) / float64(len(eps)))
-				st.line.After(at, func() { replace(st, ep, t.Extra.D()) })
+				env.scheduler.After(at, func() { replaceEndpoint(env, ep, t.Extra.D()) })
 			}
 			return func() {}
 		})
 }
 
-// replace lists a new endpoint, drains the old one, and takes it away after a while.
-func replace(st *Environment, old *receiver.Endpoint, after time.Duration) {
-	entry, known := st.Registry.Entry(old.ID)
+// replaceEndpoint lists a new endpoint in place of an old one, which drains for a time and is then removed.
+func replaceEndpoint(env *Environment, old *receiver.Endpoint, drainTime time.Duration) {
+	entry, known := env.Registry.Entry(old.ID)
 	if !known || old.Removed || old.Draining {
 		return
 	}
-	fresh := st.Replace(old)
+	replacement := env.Replace(old)
 	next := entry
-	next.Endpoint, next.Draining, next.Gone = fresh.ID, false, false
-	st.Registry.Set(next)
+	next.Endpoint, next.Draining, next.Gone = replacement.ID, false, false
+	env.Registry.Set(next)
 	entry.Draining = true
 	old.Draining = true
-	st.Registry.Set(entry)
-	st.line.After(after, func() { remove(st, old, entry) })
+	env.Registry.Set(entry)
+	env.scheduler.After(drainTime, func() { removeEndpoint(env, old, entry) })
 }
 
-func remove(st *Environment, old *receiver.Endpoint, entry rules.Entry) {
+func removeEndpoint(env *Environment, old *receiver.Endpoint, entry rules.Entry) {
 	entry.Gone = true
-	st.Registry.Set(entry)
+	env.Registry.Set(entry)
 	old.Remove()
 }
--- a/lab/trouble/hang.go
+++ b/lab/trouble/hang.go
@@ -1,3 +1,5 @@
+// This file owns the fault "hang": endpoints accept calls and answer none until they are restarted.
+
 package trouble
 
 import (
@@ -7,7 +9,7 @@
 
 func init() {
 	register("hang", "endpoints take calls and answer none; at the end they are restarted, reset what they had, and are cold", nil,
-		onEndpoints(always,
+		perEndpoint(always,
 			func(ep *receiver.Endpoint, _ scenario.Trouble) { ep.Hang() },
 			func(ep *receiver.Endpoint, _ scenario.Trouble) { ep.Unhang() }))
 }
--- a/lab/trouble/limit_cut.go
+++ b/lab/trouble/limit_cut.go
@@ -1,3 +1,5 @@
+// This file owns the fault "limit_cut": the limits of receivers are reduced.
+
 package trouble
 
 import (
@@ -9,19 +11,19 @@
 
 func init() {
 	register("limit_cut", "limits fall to a part of what they were; size: the part (above 0, below 1)",
-		sizeFrom(0.001, 0.999, "the part of the limit that is left is expected above 0 and below 1"),
-		func(st *Environment, t scenario.Trouble, r *rand.Rand) func() {
+		sizeWithin(0.001, 0.999, "the part of the limit that is left is expected above 0 and below 1"),
+		func(env *Environment, t scenario.Trouble, r *rand.Rand) func() {
 			var cut []*receiver.Unit
-			whole := units(st.endpoints(t, r))
-			for _, u := range st.Units() {
-				if _, struck := whole[u]; struck {
+			affected := affectedUnits(env.selectEndpoints(t, r))
+			for _, u := range env.Units() {
+				if _, ok := affected[u]; ok {
 					cut = append(cut, u)
-					u.ScaleLimit(st.Queue.Now(), t.Size)
+					u.ScaleLimit(env.Queue.Now(), t.Size)
 				}
 			}
 			return func() {
 				for _, u := range cut {
-					u.ScaleLimit(st.Queue.Now(), 1)
+					u.ScaleLimit(env.Queue.Now(), 1)
 				}
 			}
 		})
--- a/lab/trouble/pauses.go
+++ b/lab/trouble/pauses.go
@@ -1,3 +1,5 @@
+// This file owns the fault "pauses": endpoints pause for a short time again and again.
+
 package trouble
 
 import (
@@ -15,25 +17,25 @@
 			}
 			return ""
 		},
-		func(st *Environment, t scenario.Trouble, r *rand.Rand) func() {
-			eps := st.endpoints(t, r)
-			over := false
+		func(env *Environment, t scenario.Trouble, r *rand.Rand) func() {
+			eps := env.selectEndpoints(t, r)
+			ended := false
 			var pause func()
 			pause = func() {
-				if over {
+				if ended {
 					return
 				}
 				for _, ep := range eps {
 					ep.Pause()
 				}
-				st.line.After(t.Extra.D(), func() {
+				env.scheduler.After(t.Extra.D(), func() {
 					for _, ep := range eps {
 						ep.Resume()
 					}
 				})
-				st.line.After(time.Duration(t.Size*float64(time.Second)), pause)
+				env.scheduler.After(time.Duration(t.Size*float64(time.Second)), pause)
 			}
 			pause()
-			return func() { over = true }
+			return func() { ended = true }
 		})
 }
--- a/lab/trouble/refuse_connects.go
+++ b/lab/trouble/refuse_connects.go
@@ -1,3 +1,5 @@
+// This file owns the fault "refuse_connects": new connections are refused, open ones keep working.
+
 package trouble
 
 import (
@@ -7,7 +9,7 @@
 
 func init() {
 	register("refuse_connects", "new connections are refused; those that are open go on working", nil,
-		onEndpoints(never,
+		perEndpoint(never,
 			func(ep *receiver.Endpoint, _ scenario.Trouble) { ep.RefusingConnects++ },
 			func(ep *receiver.Endpoint, _ scenario.Trouble) { ep.RefusingConnects-- }))
 }
--- a/lab/trouble/registry_lag.go
+++ b/lab/trouble/registry_lag.go
@@ -1,3 +1,5 @@
+// This file owns the fault "registry_lag": changes of the endpoint list reach senders later.
+
 package trouble
 
 import (
@@ -8,8 +10,8 @@
 
 func init() {
 	register("registry_lag", "changes to the list are told later; extra: how much later", nil,
-		func(st *Environment, t scenario.Trouble, _ *rand.Rand) func() {
-			st.Registry.ExtraLag += t.Extra.D()
-			return func() { st.Registry.ExtraLag -= t.Extra.D() }
+		func(env *Environment, t scenario.Trouble, _ *rand.Rand) func() {
+			env.Registry.ExtraLag += t.Extra.D()
+			return func() { env.Registry.ExtraLag -= t.Extra.D() }
 		})
 }
--- a/lab/trouble/registry_silence.go
+++ b/lab/trouble/registry_silence.go
@@ -1,3 +1,5 @@
+// This file owns the fault "registry_silence": the registry sends no changes of the endpoint list and fails all calls.
+
 package trouble
 
 import (
@@ -8,11 +10,11 @@
 
 func init() {
 	register("registry_silence", "nobody hears of changes to the list, and calls to the registry fail", nil,
-		func(st *Environment, _ scenario.Trouble, _ *rand.Rand) func() {
-			st.Registry.Unreachable++
+		func(env *Environment, _ scenario.Trouble, _ *rand.Rand) func() {
+			env.Registry.Unreachable++
 			return func() {
-				if st.Registry.Unreachable--; st.Registry.Unreachable == 0 {
-					st.Registry.ResumeUpdates()
+				if env.Registry.Unreachable--; env.Registry.Unreachable == 0 {
+					env.Registry.ResumeUpdates()
 				}
 			}
 		})
--- a/lab/trouble/surge.go
+++ b/lab/trouble/surge.go
@@ -1,3 +1,5 @@
+// This file owns the fault "surge": the traffic changes by a factor.
+
 package trouble
 
 import (
@@ -8,9 +10,9 @@
 
 func init() {
 	register("surge", "traffic jumps; size: how many times (above 0; below 1 it falls)",
-		sizeFrom(0.01, 1000, "how many times the traffic is expected from 0.01 to 1000"),
-		func(st *Environment, t scenario.Trouble, _ *rand.Rand) func() {
-			st.Clients.RateFactor *= t.Size
-			return func() { st.Clients.RateFactor /= t.Size }
+		sizeWithin(0.01, 1000, "how many times the traffic is expected from 0.01 to 1000"),
+		func(env *Environment, t scenario.Trouble, _ *rand.Rand) func() {
+			env.Clients.RateFactor *= t.Size
+			return func() { env.Clients.RateFactor /= t.Size }
 		})
 }
--- a/lab/trouble/trouble.go
+++ b/lab/trouble/trouble.go
@@ -1,6 +1,7 @@
-// Package trouble owns what goes wrong in a run. A kind is one file that registers itself: its name, what it does, and a
-// function that begins it and returns how to end it. A kind must never look at a policy, and must undo all it did, so
-// that troubles may overlap freely.
+// Package trouble injects faults into a run. Each kind of fault is one file that registers itself with its name, a
+// description and a function that starts the fault and returns a function that ends it.
+//
+// A fault must never depend on a policy, and must undo all that it did when it ends, so that faults may overlap freely.
 package trouble
 
 import (
@@ -17,76 +18,79 @@
 	"eiderhaven/lab/scenario"
 )
 
-// Stage is what troubles may touch.
+// Environment holds the parts of a run that faults may change, and what they need to know of it.
 type Environment struct {
 	Scenario *scenario.Scenario
 	Queue    *clock.Queue
 	Registry *registry.Registry
 	Clients  *client.LoadGenerator
-	Units    func() []*receiver.Unit // by number; replacements add to them
+	Units    func() []*receiver.Unit // by number, replacements included
 	Weights  []float64               // traffic weight by destination
-	Senders  int
-	// StopSender ends a sender's process at once, StartSender brings it back.
+	Senders  int                     // number of senders
+	// StopSender ends a sender's process at once; its state is lost unless kept is set. StartSender starts it again.
 	StopSender  func(sender int, kept bool)
 	StartSender func(sender int)
-	// Replace adds an endpoint that takes an old one's place.
+	// Replace adds an endpoint that takes the place of an old one.
 	Replace func(old *receiver.Endpoint) *receiver.Endpoint
-	// Log notes what happened, for timelines and charts.
+	// Log records an event, for timelines and charts.
 	Log func(format string, args ...any)
 
-	line *clock.Scheduler
+	scheduler *clock.Scheduler
 }
 
-// begin starts one trouble and returns what ends it.
-type begin func(st *Environment, t scenario.Trouble, r *rand.Rand) (end func())
+// startFunc starts a fault and returns a function that ends it. It draws random choices from r only.
+type startFunc func(env *Environment, t scenario.Trouble, r *rand.Rand) (end func())
 
-var kinds = map[string]begin{}
+var startFuncs = map[string]startFunc{}
 
-// register makes a kind known; about says what it does and what size and extra mean.
-func register(name, about string, check func(scenario.Trouble) string, f begin) {
-	kinds[name] = f
+// register adds a kind of fault. about describes what it does and what size and extra mean; check returns what is wrong
+// with a fault in a scenario file, or "".
+func register(name, about string, check func(scenario.Trouble) string, start startFunc) {
+	startFuncs[name] = start
 	scenario.RegisterTrouble(name, about, check)
 }
 
-// Schedule plans all troubles of a run.
-func (st *Environment) Schedule(seed uint64) {
-	st.line = st.Queue.NewScheduler(clock.Trouble, 0)
+// Schedule schedules all faults of a run.
+func (env *Environment) Schedule(seed uint64) {
+	env.scheduler = env.Queue.NewScheduler(clock.Trouble, 0)
 	seen := map[string]int{}
-	for _, t := range st.Scenario.Troubles {
-		// By what it is, not by its place: leaving another trouble out must not change whom this one strikes.
+	for _, t := range env.Scenario.Troubles {
+		// The random stream depends on the fault itself and not on its place in the list, so that leaving another fault out
+		// does not change which endpoints this one affects.
 		name := fmt.Sprintf("trouble %s %v %v %v %s", t.Kind, t.At.D(), t.For.D(), t.Part, t.On)
 		seen[name]++
 		r := random.Stream(seed, name, seen[name])
 		if t.Every == 0 {
-			st.plan(t, t.At.D(), r)
+			env.schedule(t, t.At.D(), r)
 			continue
 		}
 		for at := t.At.D(); ; {
 			at += time.Duration(r.ExpFloat64() * float64(t.Every))
-			if at >= st.Scenario.Run.Length.D() {
+			if at >= env.Scenario.Run.Length.D() {
 				break
 			}
-			st.plan(t, at, r)
+			env.schedule(t, at, r)
 		}
 	}
 }
 
-func (st *Environment) plan(t scenario.Trouble, at time.Duration, r *rand.Rand) {
-	st.line.At(at, func() {
-		end := kinds[t.Kind](st, t, r)
-		st.Log("%s begins", t.Kind)
-		st.line.After(t.For.D(), func() {
+// schedule schedules one occurrence of a fault.
+func (env *Environment) schedule(t scenario.Trouble, at time.Duration, r *rand.Rand) {
+	env.scheduler.At(at, func() {
+		end := startFuncs[t.Kind](env, t, r)
+		env.Log("%s begins", t.Kind)
+		env.scheduler.After(t.For.D(), func() {
 			end()
-			st.Log("%s ends", t.Kind)
+			env.Log("%s ends", t.Kind)
 		})
 	})
 }
 
-// endpoints chooses the endpoints that a trouble strikes.
-func (st *Environment) endpoints(t scenario.Trouble, r *rand.Rand) []*receiver.Endpoint {
+// selectEndpoints returns the endpoints that a fault affects.
+func (env *Environment) selectEndpoints(t scenario.Trouble, r *rand.Rand) []*receiver.Endpoint {
 	var pool []*receiver.Endpoint
-	for _, u := range st.Units() {
-		if t.On != "" && st.Scenario.Kinds[u.Kind].Name != t.On {
+	for _, u := range env.Units() {
+		if t.On != "" && env.Scenario.Kinds[u.Kind].Name != t.On {
 			continue
 		}
 		for _, ep := range u.Endpoints {
@@ -102,12 +106,14 @@
 	case "zone":
 		group = func(ep *receiver.Endpoint) int { return ep.Zone }
 	}
-	chosen := st.choose(t, r, pool, group)
+	chosen := env.selectGroups(t, r, pool, group)
 	return slices.DeleteFunc(pool, func(ep *receiver.Endpoint) bool { return !chosen[group(ep)] })
 }
 
-// choose picks a part of the groups, the busiest or any.
-func (st *Environment) choose(t scenario.Trouble, r *rand.Rand, pool []*receiver.Endpoint, group func(*receiver.Endpoint) int) map[int]bool {
+// selectGroups selects the fault's part of the groups that the endpoints form: the busiest, or a random choice.
+func (env *Environment) selectGroups(
+	t scenario.Trouble, r *rand.Rand, pool []*receiver.Endpoint, group func(*receiver.Endpoint) int,
+) map[int]bool {
 	var groups []int
 	weight := map[int]float64{}
 	for _, ep := range pool {
@@ -115,7 +121,7 @@
 		if _, seen := weight[g]; !seen {
 			groups = append(groups, g)
 		}
-		weight[g] += st.Weights[ep.Unit.Dest]
+		weight[g] += env.Weights[ep.Unit.Dest]
 	}
 	r.Shuffle(len(groups), func(i, j int) { groups[i], groups[j] = groups[j], groups[i] })
 	if t.Busy {
@@ -137,14 +143,14 @@
 	return chosen
 }
 
-// units returns the units of endpoints, each once, and whether all endpoints of each were struck.
-func units(eps []*receiver.Endpoint) map[*receiver.Unit]bool {
-	struck := map[*receiver.Unit]int{}
+// affectedUnits returns the units of the endpoints, and for each whether all of its endpoints are among them.
+func affectedUnits(eps []*receiver.Endpoint) map[*receiver.Unit]bool {
+	affected := map[*receiver.Unit]int{}
 	for _, ep := range eps {
-		struck[ep.Unit]++
+		affected[ep.Unit]++
 	}
 	whole := map[*receiver.Unit]bool{}
-	for u, n := range struck {
+	for u, n := range affected {
 		live := 0
 		for _, ep := range u.Endpoints {
 			if !ep.Removed {
@@ -156,28 +162,31 @@
 	return whole
 }
 
-// outage begins an outage of each unit that was struck as a whole, and returns what ends it. The rules speak of the
-// destination or the route: one endpoint down of several is none.
-func (st *Environment) outage(eps []*receiver.Endpoint) (end func()) {
-	whole := units(eps)
+// beginOutage begins an outage of each unit of which all endpoints are affected, and returns a function that ends it.
+// The delivery rules concern a whole destination or route: one failed endpoint of several is no outage.
+func (env *Environment) beginOutage(eps []*receiver.Endpoint) (end func()) {
+	whole := affectedUnits(eps)
 	each := func(f func(u *receiver.Unit)) {
-		for _, u := range st.Units() { // in order, as maps have none
+		for _, u := range env.Units() { // not over the map, whose order is random
 			if whole[u] {
 				f(u)
 			}
 		}
 	}
-	each(func(u *receiver.Unit) { u.BeginOutage(st.Queue.Now()) })
-	return func() { each(func(u *receiver.Unit) { u.EndOutage(st.Queue.Now()) }) }
+	each(func(u *receiver.Unit) { u.BeginOutage(env.Queue.Now()) })
+	return func() { each(func(u *receiver.Unit) { u.EndOutage(env.Queue.Now()) }) }
 }
 
-// onEndpoints is a kind that does something to each endpoint struck, and undoes it; an outage as a whole if asked.
-func onEndpoints(isOutage func(scenario.Trouble) bool, do, undo func(ep *receiver.Endpoint, t scenario.Trouble)) begin {
-	return func(st *Environment, t scenario.Trouble, r *rand.Rand) func() {
-		eps := st.endpoints(t, r)
+// perEndpoint returns the start function of a fault that changes each affected endpoint, and undoes that when it ends.
+// If isOutage holds, the fault is also an outage of each unit of which all endpoints are affected.
+func perEndpoint(
+	isOutage func(scenario.Trouble) bool, do, undo func(ep *receiver.Endpoint, t scenario.Trouble),
+) startFunc {
+	return func(env *Environment, t scenario.Trouble, r *rand.Rand) func() {
+		eps := env.selectEndpoints(t, r)
 		end := func() {}
 		if isOutage(t) {
-			end = st.outage(eps)
+			end = env.beginOutage(eps)
 		}
 		for _, ep := range eps {
 			do(ep, t)
@@ -191,14 +200,19 @@
 	}
 }
 
+// outageShare is the share of failing calls or lost answers from which on a fault counts as an outage.
+const outageShare = 0.5
+
+func sizeIsOutage(t scenario.Trouble) bool { return t.Size >= outageShare }
+
 func always(scenario.Trouble) bool { return true }
 func never(scenario.Trouble) bool  { return false }
 
-// sizeFrom checks that size lies in a range.
-func sizeFrom(low, high float64, what string) func(scenario.Trouble) string {
+// sizeWithin returns a check that the size lies in a range; message is returned if it does not.
+func sizeWithin(low, high float64, message string) func(scenario.Trouble) string {
 	return func(t scenario.Trouble) string {
 		if t.Size < low || t.Size > high {
-			return "size: " + what
+			return "size: " + message
 		}
 		return ""
 	}
--- a/lab/trouble/vanish.go
+++ b/lab/trouble/vanish.go
@@ -1,3 +1,5 @@
+// This file owns the fault "vanish": machines are cut off from the network and restart cold.
+
 package trouble
 
 import (
@@ -7,7 +9,7 @@
 
 func init() {
 	register("vanish", "machines are cut off: no answer and no reset, open connections stay open and silent; they come back cold", nil,
-		onEndpoints(always,
+		perEndpoint(always,
 			func(ep *receiver.Endpoint, _ scenario.Trouble) { ep.Vanish() },
 			func(ep *receiver.Endpoint, _ scenario.Trouble) { ep.Reappear() }))
 }
