--- a/lab/scale/destinations.go
+++ b/lab/scale/destinations.go
@@ -12,33 +12,33 @@
 	"eiderhaven/standin/platform"
 )
 
-const zones = 7
+const zoneCount = 7
 
 func zoneName(z int) string { return fmt.Sprint("z", z) }
 
 // destinations are the listeners: two for each zone, as an endpoint that takes another's place stands elsewhere.
 type destinations struct {
-	arrived func(id string, side int)
-	ports   [zones][2]*port
-	refused string  // where nothing listens
-	rate    float64 // listed for each
+	onCall          func(id string, side int)
+	listeners       [zoneCount][2]*zoneListener
+	unreachableAddr string  // where nothing listens
+	listedRate      float64 // listed for each
 }
 
 // port is one listener.
-type port struct {
-	addr string
-	mu   sync.Mutex
-	srv  *platform.Server
-	open atomic.Bool
+type zoneListener struct {
+	addr      string
+	mu        sync.Mutex
+	srv       *platform.Server
+	accepting atomic.Bool
 }
 
 func newDestinations(ip, refusing string, rate float64, arrived func(id string, side int)) (*destinations, error) {
-	d := &destinations{arrived: arrived, refused: refusing + ":9", rate: rate}
-	for z := range zones {
+	d := &destinations{onCall: arrived, unreachableAddr: refusing + ":9", listedRate: rate}
+	for z := range zoneCount {
 		for side := range 2 {
-			d.ports[z][side] = &port{addr: fmt.Sprintf("%s:%d", ip, 20000+2*z+side)}
+			d.listeners[z][side] = &zoneListener{addr: fmt.Sprintf("%s:%d", ip, 20000+2*z+side)}
 		}
-		if err := d.up(z); err != nil {
+		if err := d.startZone(z); err != nil {
 			d.close()
 			return nil, err
 		}
@@ -47,13 +47,13 @@
 }
 
 // up lets a zone's destinations be reached.
-func (d *destinations) up(z int) error {
-	for side, p := range d.ports[z] {
+func (d *destinations) startZone(z int) error {
+	for side, p := range d.listeners[z] {
 		srv, err := platform.Listen(p.addr, func(req *http1.Request, _ []byte) *http1.Response {
 			if req.Method != "POST" || req.Target != "/receive" {
 				return &http1.Response{Status: 404}
 			}
-			d.arrived(req.Header.Get("Req-Id"), side)
+			d.onCall(req.Header.Get("Req-Id"), side)
 			return &http1.Response{Status: 200}
 		})
 		if err != nil {
@@ -62,15 +62,15 @@
 		p.mu.Lock()
 		p.srv = srv
 		p.mu.Unlock()
-		p.open.Store(true)
+		p.accepting.Store(true)
 	}
 	return nil
 }
 
 // down makes a zone's destinations reset their connections and refuse new ones.
-func (d *destinations) down(z int) {
-	for _, p := range d.ports[z] {
-		p.open.Store(false)
+func (d *destinations) stopZone(z int) {
+	for _, p := range d.listeners[z] {
+		p.accepting.Store(false)
 		p.mu.Lock()
 		srv := p.srv
 		p.srv = nil
@@ -82,11 +82,11 @@
 }
 
 // isOpen tells whether an address takes connections, for those that make none.
-func (d *destinations) isOpen(addr string) bool {
-	for z := range zones {
-		for _, p := range d.ports[z] {
+func (d *destinations) isAccepting(addr string) bool {
+	for z := range zoneCount {
+		for _, p := range d.listeners[z] {
 			if p.addr == addr {
-				return p.open.Load()
+				return p.accepting.Load()
 			}
 		}
 	}
@@ -94,19 +94,19 @@
 }
 
 func (d *destinations) close() {
-	for z := range zones {
-		if d.ports[z][1] != nil {
-			d.down(z)
+	for z := range zoneCount {
+		if d.listeners[z][1] != nil {
+			d.stopZone(z)
 		}
 	}
 }
 
 // entry is a destination's endpoint as it is listed at first, or as a change has made it.
 func (d *destinations) entry(dest, side int, host string, down bool) platform.Entry {
-	z := dest % zones
-	e := platform.Entry{Host: host, Dial: d.ports[z][side].addr, Site: zoneName(z), Class: "any", Block: dest, Health: "Ready", Share: d.rate}
+	z := dest % zoneCount
+	e := platform.Entry{Host: host, Dial: d.listeners[z][side].addr, Site: zoneName(z), Class: "any", Block: dest, Health: "Ready", Share: d.listedRate}
 	if down {
-		e.Dial = d.refused
+		e.Dial = d.unreachableAddr
 	}
 	return e
 }
--- a/lab/scale/discovery.go
+++ b/lab/scale/discovery.go
@@ -21,33 +21,33 @@
 )
 
 // keptChanges are told one by one; whoever names an older version gets the whole list.
-const keptChanges = 100_000
+const maxUpdates = 100_000
 
 // discovery is the list.
 type discovery struct {
-	noticed func(id, result string)
-
-	mu      sync.Mutex
-	seq     int64
-	texts   []string // the list's entries as they are told; "" for one that has gone
-	place   map[string]int
-	news    []news // oldest first
-	changed chan struct{}
-	whole   []byte // of the version wholeAt
-	wholeAt int64
-
-	watches, mostWatches atomic.Int64
+	onNotice func(id, result string)
+
+	mu          sync.Mutex
+	seq         int64
+	entries     []string // the list's entries as they are told; "" for one that has gone
+	index       map[string]int
+	updates     []update // oldest first
+	changed     chan struct{}
+	fullList    []byte // of the version wholeAt
+	fullListSeq int64
+
+	openWatches, maxWatches atomic.Int64
 }
 
-type news struct {
-	seq  int64
-	text string
+type update struct {
+	seq   int64
+	entry string
 }
 
 func newDiscovery(entries []platform.Entry, noticed func(id, result string)) *discovery {
-	d := &discovery{noticed: noticed, place: map[string]int{}, changed: make(chan struct{})}
+	d := &discovery{onNotice: noticed, index: map[string]int{}, changed: make(chan struct{})}
 	d.publish(entries...)
-	d.news = nil
+	d.updates = nil
 	return d
 }
 
@@ -58,39 +58,39 @@
 	d.seq++
 	for _, e := range entries {
 		text, _ := json.Marshal(e) // plain values always encode
-		at, listed := d.place[e.Host]
+		at, listed := d.index[e.Host]
 		switch {
 		case e.Health == "Gone" && listed:
-			d.texts[at] = ""
-			delete(d.place, e.Host)
+			d.entries[at] = ""
+			delete(d.index, e.Host)
 		case e.Health == "Gone":
 		case listed:
-			d.texts[at] = string(text)
+			d.entries[at] = string(text)
 		default:
-			d.place[e.Host] = len(d.texts)
-			d.texts = append(d.texts, string(text))
+			d.index[e.Host] = len(d.entries)
+			d.entries = append(d.entries, string(text))
 		}
-		d.news = append(d.news, news{d.seq, string(text)})
+		d.updates = append(d.updates, update{d.seq, string(text)})
 	}
-	if n := len(d.news) - keptChanges; n > 0 {
-		for n < len(d.news) && d.news[n].seq == d.news[n-1].seq { // a version is kept whole or not at all
+	if n := len(d.updates) - maxUpdates; n > 0 {
+		for n < len(d.updates) && d.updates[n].seq == d.updates[n-1].seq { // a version is kept whole or not at all
 			n++
 		}
-		d.news = append([]news(nil), d.news[n:]...)
+		d.updates = append([]update(nil), d.updates[n:]...)
 	}
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
 // list is the whole list, made once for each version that somebody asks for.
-func (d *discovery) list() []byte {
+func (d *discovery) fullListBody() []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.wholeAt != d.seq {
+	if d.fullListSeq != d.seq {
 		var b bytes.Buffer
 		fmt.Fprintf(&b, `{"seq":%d,"whole":true,"hosts":[`, d.seq)
 		first := true
-		for _, text := range d.texts {
+		for _, text := range d.entries {
 			if text == "" {
 				continue
 			}
@@ -101,90 +101,90 @@
 			b.WriteString(text)
 		}
 		b.WriteString("]}")
-		d.whole, d.wholeAt = b.Bytes(), d.seq
+		d.fullList, d.fullListSeq = b.Bytes(), d.seq
 	}
-	return d.whole
+	return d.fullList
 }
 
 // since is what is new after a version; false if only the whole list tells it.
-func (d *discovery) since(after int64) (body []byte, any, told bool) {
+func (d *discovery) updatesSince(after int64) (body []byte, any, told bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if after > d.seq || after < d.seq && (len(d.news) == 0 || d.news[0].seq > after+1) {
+	if after > d.seq || after < d.seq && (len(d.updates) == 0 || d.updates[0].seq > after+1) {
 		return nil, true, false
 	}
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"seq":%d,"whole":false,"hosts":[`, d.seq)
-	from := len(d.news)
-	for from > 0 && d.news[from-1].seq > after {
+	from := len(d.updates)
+	for from > 0 && d.updates[from-1].seq > after {
 		from--
 	}
-	for i, n := range d.news[from:] {
+	for i, n := range d.updates[from:] {
 		if i > 0 {
 			b.WriteByte(',')
 		}
-		b.WriteString(n.text)
+		b.WriteString(n.entry)
 	}
 	b.WriteString("]}")
-	return b.Bytes(), from < len(d.news), true
+	return b.Bytes(), from < len(d.updates), true
 }
 
-func (d *discovery) next() <-chan struct{} {
+func (d *discovery) nextChange() <-chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.changed
 }
 
 // gateCounts is what passed a gate.
-type gateCounts struct {
-	calls, wholes, notices int64 // requests; of them answered with the whole list; posts of notices
-	in, out                int64 // bytes from the sender, and to it
+type gatewayCounts struct {
+	calls, fullLists, notices int64 // requests; of them answered with the whole list; posts of notices
+	received, sent            int64 // bytes from the sender, and to it
 }
 
 // gate is the way of one sender to discovery, at an address of its own.
-type gate struct {
+type gateway struct {
 	d    *discovery
 	addr string
 
-	calls, wholes, notices, in, out atomic.Int64
+	calls, fullLists, notices, received, sent atomic.Int64
 
-	mu     sync.Mutex
-	srv    *platform.Server
-	stop   chan struct{} // closed when the gate goes down
-	silent bool
-	back   time.Time // reachable since
+	mu      sync.Mutex
+	srv     *platform.Server
+	stopped chan struct{} // closed when the gate goes down
+	cutOff  bool
+	upSince time.Time // reachable since
 }
 
-func newGate(d *discovery, addr string) (*gate, error) {
-	g := &gate{d: d, addr: addr}
-	return g, g.up()
+func newGateway(d *discovery, addr string) (*gateway, error) {
+	g := &gateway{d: d, addr: addr}
+	return g, g.start()
 }
 
-func (g *gate) counts() gateCounts {
-	return gateCounts{g.calls.Load(), g.wholes.Load(), g.notices.Load(), g.in.Load(), g.out.Load()}
+func (g *gateway) counts() gatewayCounts {
+	return gatewayCounts{g.calls.Load(), g.fullLists.Load(), g.notices.Load(), g.received.Load(), g.sent.Load()}
 }
 
-func (c gateCounts) less(o gateCounts) gateCounts {
-	return gateCounts{c.calls - o.calls, c.wholes - o.wholes, c.notices - o.notices, c.in - o.in, c.out - o.out}
+func (c gatewayCounts) minus(o gatewayCounts) gatewayCounts {
+	return gatewayCounts{c.calls - o.calls, c.fullLists - o.fullLists, c.notices - o.notices, c.received - o.received, c.sent - o.sent}
 }
 
 // up lets discovery be reached.
-func (g *gate) up() error {
+func (g *gateway) start() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.stop = make(chan struct{})
+	g.stopped = make(chan struct{})
 	srv, err := platform.ListenRaw(g.addr, g.serve)
 	if err != nil {
 		return err
 	}
-	g.srv, g.back = srv, time.Now()
+	g.srv, g.upSince = srv, time.Now()
 	return nil
 }
 
 // down is a discovery that has died: connections are reset and new ones refused.
-func (g *gate) down() {
+func (g *gateway) stop() {
 	g.mu.Lock()
-	srv, stop := g.srv, g.stop
+	srv, stop := g.srv, g.stopped
 	g.srv = nil
 	g.mu.Unlock()
 	if srv != nil {
@@ -194,11 +194,11 @@
 }
 
 // cut is a network that is cut: connections stay, nothing passes. What hung in it is broken once it is back.
-func (g *gate) cut(on bool) {
+func (g *gateway) setCutOff(on bool) {
 	g.mu.Lock()
-	g.silent = on
+	g.cutOff = on
 	if !on {
-		g.back = time.Now()
+		g.upSince = time.Now()
 	}
 	srv := g.srv
 	g.mu.Unlock()
@@ -208,7 +208,7 @@
 }
 
 // drop breaks the connections once; new ones are answered at once.
-func (g *gate) drop() {
+func (g *gateway) closeConnections() {
 	g.mu.Lock()
 	srv := g.srv
 	g.mu.Unlock()
@@ -217,42 +217,42 @@
 	}
 }
 
-func (g *gate) reachable() time.Time {
+func (g *gateway) reachableSince() time.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.back
+	return g.upSince
 }
 
-func (g *gate) isSilent() bool {
+func (g *gateway) isCutOff() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.silent
+	return g.cutOff
 }
 
 // counted counts what passes a connection.
-type counted struct {
+type countingConn struct {
 	net.Conn
-	g *gate
+	gateway *gateway
 }
 
-func (c counted) Read(p []byte) (int, error) {
+func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.g.in.Add(int64(n))
+	c.gateway.received.Add(int64(n))
 	return n, err
 }
 
-func (c counted) Write(p []byte) (int, error) {
+func (c countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.g.out.Add(int64(n))
+	c.gateway.sent.Add(int64(n))
 	return n, err
 }
 
 // serve answers requests on one connection until it ends.
-func (g *gate) serve(nc net.Conn) {
+func (g *gateway) serve(nc net.Conn) {
 	g.mu.Lock()
-	stop := g.stop
+	stop := g.stopped
 	g.mu.Unlock()
-	c := counted{nc, g}
+	c := countingConn{nc, g}
 	br := bufio.NewReaderSize(c, 1024)
 	for {
 		req, body, err := platform.ReadRequest(br)
@@ -261,21 +261,21 @@
 		}
 		var status int
 		var answer []byte
-		if !g.isSilent() {
-			status, answer = g.answer(req, body, stop)
+		if !g.isCutOff() {
+			status, answer = g.handle(req, body, stop)
 		}
-		if g.isSilent() || status == 0 {
+		if g.isCutOff() || status == 0 {
 			_, _ = br.Peek(1) // until the sender ends the connection, or this side does
 			return
 		}
-		if err := reply(c, status, answer); err != nil || req.Close {
+		if err := writeResponse(c, status, answer); err != nil || req.Close {
 			return
 		}
 	}
 }
 
 // reply writes an answer without a copy of its body, which may be a whole list.
-func reply(c net.Conn, status int, body []byte) error {
+func writeResponse(c net.Conn, status int, body []byte) error {
 	if len(body) < 1<<16 {
 		_, err := c.Write(http1.AppendResponse(nil, status, nil, body))
 		return err
@@ -287,50 +287,50 @@
 	return err
 }
 
-func (g *gate) answer(req *http1.Request, body []byte, stop <-chan struct{}) (int, []byte) {
+func (g *gateway) handle(req *http1.Request, body []byte, stop <-chan struct{}) (int, []byte) {
 	u, err := url.Parse(req.Target)
 	switch {
 	case err != nil:
 		return 400, nil
 	case u.Path == "/status" && req.Method == "POST":
 		g.notices.Add(1)
-		return g.notice(body), nil
+		return g.handleNotices(body), nil
 	case u.Path == "/registry/instances" && req.Method == "GET":
 		g.calls.Add(1)
-		return 200, g.watch(u.Query(), stop)
+		return 200, g.handleWatch(u.Query(), stop)
 	}
 	return 404, nil
 }
 
-func (g *gate) notice(body []byte) int {
+func (g *gateway) handleNotices(body []byte) int {
 	for line := range bytes.Lines(body) {
 		var n struct{ Ref, Result string }
 		if json.Unmarshal(line, &n) != nil {
 			return 400
 		}
-		g.d.noticed(n.Ref, n.Result)
+		g.d.onNotice(n.Ref, n.Result)
 	}
 	return 204
 }
 
 // watch answers at once if there is news, else when there is or the wait is over.
-func (g *gate) watch(q url.Values, stop <-chan struct{}) []byte {
+func (g *gateway) handleWatch(q url.Values, stop <-chan struct{}) []byte {
 	after, err := strconv.ParseInt(q.Get("after"), 10, 64)
 	if err != nil {
-		g.wholes.Add(1)
-		return g.d.list()
+		g.fullLists.Add(1)
+		return g.d.fullListBody()
 	}
 	wait, _ := strconv.Atoi(q.Get("wait_ms")) // none is 0
 	end := time.NewTimer(time.Duration(wait) * time.Millisecond)
 	defer end.Stop()
-	g.d.watching(1)
-	defer g.d.watching(-1)
+	g.d.addOpenWatches(1)
+	defer g.d.addOpenWatches(-1)
 	for {
-		next := g.d.next()
-		body, any, told := g.d.since(after)
+		next := g.d.nextChange()
+		body, any, told := g.d.updatesSince(after)
 		if !told {
-			g.wholes.Add(1)
-			return g.d.list()
+			g.fullLists.Add(1)
+			return g.d.fullListBody()
 		}
 		if any {
 			return body
@@ -345,14 +345,14 @@
 	}
 }
 
-func (d *discovery) watching(n int64) {
-	if open := d.watches.Add(n); open > d.mostWatches.Load() {
-		d.mostWatches.Store(open) // two at once may miss by one
+func (d *discovery) addOpenWatches(n int64) {
+	if open := d.openWatches.Add(n); open > d.maxWatches.Load() {
+		d.maxWatches.Store(open) // two at once may miss by one
 	}
 }
 
 // changeOf reads the number of the change that brought an endpoint into being off its name.
-func changeOf(host string) (int, bool) {
+func changeNumber(host string) (int, bool) {
 	text, ok := strings.CutPrefix(host, "g-")
 	if !ok {
 		return 0, false
--- a/lab/scale/fit.go
+++ b/lab/scale/fit.go
@@ -24,9 +24,9 @@
 )
 
 const (
-	offLine  = 0.15
-	leastR2  = 0.8
-	noChange = 0.02 // of the largest value: a smaller rise is none
+	maxLinearResidual = 0.15
+	minR2             = 0.8
+	minRelativeRise   = 0.02 // of the largest value: a smaller rise is none
 )
 
 // Fit is one figure over one axis.
@@ -52,7 +52,7 @@
 }
 
 // fitted are the figures that are fitted, by axis and row; all real senders are samples of one fit.
-var fitted = map[string][]struct{ who, figure string }{
+var fittedFigures = map[string][]struct{ who, figure string }{
 	"destinations": {{"real", "ready"}, {"real", "list"}, {"real", "cpu_start"}, {"real", "start_control"}, {"real", "resident"}, {"real", "heap"}, {"real", "heap_live"},
 		{"real", "cpu_rest"}, {"real", "failure_control"}, {"real", "restart_ready"}, {"real", "restart_list"}, {"real", "restart_control"}, {"real", "force_p99"},
 		{"hollow", "heap"}, {"hollow", "list"}, {"hollow", "step_p99"}},
@@ -91,7 +91,7 @@
 	f := Fit{Axis: axis, Subject: who, Figure: figure, Shape: TooFewPoints, Intercept: math.NaN(), Slope: math.NaN(), MaxResidual: math.NaN(), R2: math.NaN(), HeldOut: math.NaN(),
 		Predicted: math.NaN(), Measured: math.NaN(), Min: math.NaN(), Max: math.NaN()}
 	f.Points, f.Samples = len(slices.Compact(slices.Clone(xs))), len(xs)
-	if f.Points < leastPoints {
+	if f.Points < minAxisPoints {
 		return f
 	}
 	f.HeldOut = xs[len(xs)-1]
@@ -112,12 +112,12 @@
 	f.MaxResidual = most / size
 	rise := math.Abs(f.Slope) * (xs[len(xs)-1] - xs[0])
 	switch {
-	case f.MaxResidual > offLine:
+	case f.MaxResidual > maxLinearResidual:
 		f.Shape = Nonlinear
 		return f
-	case rise <= 2*most || rise < noChange*size:
+	case rise <= 2*most || rise < minRelativeRise*size:
 		f.Shape, f.Intercept, f.Slope = Flat, stat.Mean(ys, nil), 0
-	case f.R2 < leastR2:
+	case f.R2 < minR2:
 		f.Shape = Nonlinear
 		return f
 	default:
@@ -131,7 +131,7 @@
 func FitRows(rows []Row) []Fit {
 	var out []Fit
 	for _, axis := range axisNames {
-		for _, x := range fitted[axis] {
+		for _, x := range fittedFigures[axis] {
 			if xs, ys := samples(rows, axis, x.who, x.figure); len(xs) > 0 {
 				out = append(out, fit(axis, x.who, x.figure, xs, ys))
 			}
@@ -141,7 +141,7 @@
 }
 
 // with gives a number its unit in a size that people read.
-func with(x float64, unit string) string {
+func formatValue(x float64, unit string) string {
 	if math.IsNaN(x) {
 		return "-"
 	}
@@ -151,18 +151,18 @@
 			name string
 		}{{1e9, "G"}, {1e6, "M"}, {1e3, "k"}} {
 			if math.Abs(x) >= p.by {
-				return short(x/p.by) + " " + p.name + unit
+				return formatNumber(x/p.by) + " " + p.name + unit
 			}
 		}
 	}
 	if unit == "" {
-		return short(x)
+		return formatNumber(x)
 	}
-	return short(x) + " " + unit
+	return formatNumber(x) + " " + unit
 }
 
 // short is three digits of a number.
-func short(x float64) string {
+func formatNumber(x float64) string {
 	switch a := math.Abs(x); {
 	case math.IsNaN(x):
 		return "-"
--- a/lab/scale/folder.go
+++ b/lab/scale/folder.go
@@ -33,7 +33,7 @@
 	PlanText    []byte // of the plan
 	Environment string // of program and machine, for the page
 	Rows        []Row
-	build       string
+	buildText   string
 }
 
 // OpenFolder makes or opens a folder for a plan and a daemon. One that holds another plan, or rows of another daemon, is refused.
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &Folder{Path: path, Plan: p, PlanText: text, build: fmt.Sprintf("daemon, SHA-256: %x\n", sha256.Sum256(daemon))}
+	f := &Folder{Path: path, Plan: p, PlanText: text, buildText: fmt.Sprintf("daemon, SHA-256: %x\n", sha256.Sum256(daemon))}
 	have, err := os.ReadFile(filepath.Join(path, planFile))
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
@@ -53,7 +53,7 @@
 		return nil, fmt.Errorf("%s holds a run of another plan: name another folder", path)
 	}
 	build, err := os.ReadFile(filepath.Join(path, buildFile))
-	if err != nil || string(build) != f.build {
+	if err != nil || string(build) != f.buildText {
 		return nil, fmt.Errorf("%s holds a run of another daemon: name another folder", path)
 	}
 	rows, err := os.ReadFile(filepath.Join(path, rowsFile))
@@ -61,7 +61,7 @@
 		return f, nil
 	}
 	if err == nil {
-		f.Rows, err = readRows(rows)
+		f.Rows, err = decodeRows(rows)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", filepath.Join(path, rowsFile), err)
@@ -82,7 +82,7 @@
 	if err := os.MkdirAll(filepath.Join(f.Path, "charts"), 0o755); err != nil {
 		return err
 	}
-	rows, err := writeRows(f.Rows)
+	rows, err := encodeRows(f.Rows)
 	if err != nil {
 		return err
 	}
@@ -95,7 +95,7 @@
 	for _, one := range []struct {
 		name string
 		text []byte
-	}{{planFile, f.PlanText}, {buildFile, []byte(f.build)}, {rowsFile, rows}, {"summary.md", []byte(f.Summary())}, {"report.html", html}} {
+	}{{planFile, f.PlanText}, {buildFile, []byte(f.buildText)}, {rowsFile, rows}, {"summary.md", []byte(f.Summary())}, {"report.html", html}} {
 		if err := os.WriteFile(filepath.Join(f.Path, one.name), one.text, 0o644); err != nil {
 			return err
 		}
@@ -108,7 +108,7 @@
 	return nil
 }
 
-func writeRows(rows []Row) ([]byte, error) {
+func encodeRows(rows []Row) ([]byte, error) {
 	var out bytes.Buffer
 	w := csv.NewWriter(&out)
 	head := []string{"axis", "value", "who", "failed", "verdict"}
@@ -131,7 +131,7 @@
 	return out.Bytes(), w.Error()
 }
 
-func readRows(text []byte) ([]Row, error) {
+func decodeRows(text []byte) ([]Row, error) {
 	lines, err := csv.NewReader(bytes.NewReader(text)).ReadAll()
 	if err != nil || len(lines) == 0 {
 		return nil, fmt.Errorf("no rows: %w", err)
@@ -172,19 +172,19 @@
 		if o := x.RelativeError(); !math.IsNaN(o) && !math.IsInf(o, 0) {
 			off = fmt.Sprintf("%+.0f %%", 100*o)
 		}
-		measured := with(x.Measured, unit)
+		measured := formatValue(x.Measured, unit)
 		if x.Min != x.Max && !math.IsNaN(x.Min) {
-			measured += fmt.Sprintf(" (%s to %s)", with(x.Min, unit), with(x.Max, unit))
+			measured += fmt.Sprintf(" (%s to %s)", formatValue(x.Min, unit), formatValue(x.Max, unit))
 		}
-		slope, base, residual := with(x.Slope, unit), with(x.Intercept, unit), "-"
+		slope, base, residual := formatValue(x.Slope, unit), formatValue(x.Intercept, unit), "-"
 		if x.Shape == Nonlinear {
 			slope, base = "-", "-"
 		}
 		if !math.IsNaN(x.MaxResidual) {
 			residual = fmt.Sprintf("%.0f %%", 100*x.MaxResidual)
 		}
-		fits.Rows = append(fits.Rows, []string{x.Axis, x.Subject, x.Figure, string(x.Shape), fmt.Sprintf("%d (%d)", x.Points, x.Samples), base, slope, residual, short(x.R2),
-			short(x.HeldOut), with(x.Predicted, unit), measured, off})
+		fits.Rows = append(fits.Rows, []string{x.Axis, x.Subject, x.Figure, string(x.Shape), fmt.Sprintf("%d (%d)", x.Points, x.Samples), base, slope, residual, formatNumber(x.R2),
+			formatNumber(x.HeldOut), formatValue(x.Predicted, unit), measured, off})
 	}
 	tables := []chart.Table{fits}
 	events := chart.Table{Title: "Events", Head: []string{"event", "rules", "taken", "delivered", "told", "lost", "doubled", "late", "stale", "changes", "p50", "p99", "longest", "over 13 s",
@@ -204,7 +204,7 @@
 			if !ok {
 				x = math.NaN()
 			}
-			row = append(row, with(x, unitOf(name)))
+			row = append(row, formatValue(x, unitOf(name)))
 		}
 		events.Rows = append(events.Rows, row)
 	}
@@ -214,11 +214,11 @@
 	if len(failed.Rows) > 0 {
 		tables = append(tables, failed)
 	}
-	return append(tables, f.points()...)
+	return append(tables, f.pointTables()...)
 }
 
 // points are tables of what was measured, one for each axis; real senders by their mean.
-func (f *Folder) points() []chart.Table {
+func (f *Folder) pointTables() []chart.Table {
 	var out []chart.Table
 	for _, axis := range axisNames {
 		for _, who := range []string{"real", "hollow", "discovery"} {
@@ -238,7 +238,7 @@
 					for ; j < len(xs) && xs[j] == xs[i]; j++ {
 						total += ys[j]
 					}
-					means[int(xs[i])] = with(total/float64(j-i), fig.Unit)
+					means[int(xs[i])] = formatValue(total/float64(j-i), fig.Unit)
 					i = j
 				}
 				for v := range means {
@@ -268,27 +268,27 @@
 }
 
 // drawn are the charts: by axis, figures of one unit together.
-var drawn = []struct {
+var chartSpecs = []struct {
 	axis, title, y string
 	log            bool
 	lines          []struct{ who, figure string }
 }{
-	{"destinations", "memory", "bytes", false, of("real", "resident", "real", "heap_live", "hollow", "heap")},
-	{"destinations", "time from a start to the list", "s", false, of("real", "list", "real", "restart_list", "hollow", "list")},
-	{"destinations", "control bytes at a start, a restart and a failure", "bytes", false, of("real", "start_control", "real", "restart_control", "real", "failure_control")},
-	{"held", "memory", "bytes", false, of("real", "resident", "real", "heap_live")},
-	{"held", "processor", "cores", false, of("real", "cpu_rest", "real", "cpu_busy")},
-	{"held", "intake", "messages a second", false, of("real", "intake")},
-	{"hollow", "control through discovery", "bytes a second", false, of("discovery", "control_rest", "discovery", "control_busy")},
-	{"hollow", "change to in force", "ms", true, of("hollow", "force_p50", "hollow", "force_p99", "hollow", "force_max", "real", "force_p99")},
-	{"changes", "control of a real sender", "bytes a second", false, of("real", "control_busy")},
-	{"changes", "change to in force", "ms", true, of("real", "force_p50", "real", "force_p99", "real", "force_max", "hollow", "force_p99")},
-	{"down", "processor", "cores", false, of("real", "cpu_rest", "real", "cpu_busy")},
-	{"down", "change to in force", "ms", true, of("real", "force_p50", "real", "force_p99", "real", "force_max")},
-	{"owed", "time to ready after a restart", "s", false, of("real", "restart_ready", "real", "restart_list")},
+	{"destinations", "memory", "bytes", false, figureList("real", "resident", "real", "heap_live", "hollow", "heap")},
+	{"destinations", "time from a start to the list", "s", false, figureList("real", "list", "real", "restart_list", "hollow", "list")},
+	{"destinations", "control bytes at a start, a restart and a failure", "bytes", false, figureList("real", "start_control", "real", "restart_control", "real", "failure_control")},
+	{"held", "memory", "bytes", false, figureList("real", "resident", "real", "heap_live")},
+	{"held", "processor", "cores", false, figureList("real", "cpu_rest", "real", "cpu_busy")},
+	{"held", "intake", "messages a second", false, figureList("real", "intake")},
+	{"hollow", "control through discovery", "bytes a second", false, figureList("discovery", "control_rest", "discovery", "control_busy")},
+	{"hollow", "change to in force", "ms", true, figureList("hollow", "force_p50", "hollow", "force_p99", "hollow", "force_max", "real", "force_p99")},
+	{"changes", "control of a real sender", "bytes a second", false, figureList("real", "control_busy")},
+	{"changes", "change to in force", "ms", true, figureList("real", "force_p50", "real", "force_p99", "real", "force_max", "hollow", "force_p99")},
+	{"down", "processor", "cores", false, figureList("real", "cpu_rest", "real", "cpu_busy")},
+	{"down", "change to in force", "ms", true, figureList("real", "force_p50", "real", "force_p99", "real", "force_max")},
+	{"owed", "time to ready after a restart", "s", false, figureList("real", "restart_ready", "real", "restart_list")},
 }
 
-func of(names ...string) (out []struct{ who, figure string }) {
+func figureList(names ...string) (out []struct{ who, figure string }) {
 	for i := 0; i < len(names); i += 2 {
 		out = append(out, struct{ who, figure string }{names[i], names[i+1]})
 	}
@@ -299,7 +299,7 @@
 func (f *Folder) Charts() []*chart.Chart {
 	fits := FitRows(f.Rows)
 	var out []*chart.Chart
-	for _, d := range drawn {
+	for _, d := range chartSpecs {
 		c := &chart.Chart{Title: d.axis + ": " + d.title, XLabel: d.axis, YLabel: d.y, LogY: d.log, YFromZero: !d.log}
 		for _, l := range d.lines {
 			xs, ys := samples(f.Rows, d.axis, l.who, l.figure)
@@ -339,7 +339,7 @@
 	fmt.Fprintf(&b, "# Scale run: %s\n\n%s\n\nHow it is played, what the columns mean and what it cannot show: [docs/lab.md](%sdocs/lab.md#the-scale-run). A fit is a line by least squares through all points\n"+
 		"but the largest, which it then predicts. `residual` is the largest one over the largest fitted value; over %.0f %%, or with R² under %.1f, it is no line and not extended.\n"+
 		"Flat: the rise over the fitted points is no more than twice the largest residual, or under %.0f %%; then the mean is extended.\n",
-		f.Plan.Name, f.Environment, f.up(), 100*offLine, leastR2, 100*noChange)
+		f.Plan.Name, f.Environment, f.pathToRoot(), 100*maxLinearResidual, minR2, 100*minRelativeRise)
 	for _, t := range f.Tables() {
 		fmt.Fprintf(&b, "\n## %s\n\n%s", t.Title, t.Markdown())
 	}
@@ -347,7 +347,7 @@
 }
 
 // up is the way from the folder to the project's root where it lies within the project's docs, else nothing.
-func (f *Folder) up() string {
+func (f *Folder) pathToRoot() string {
 	parts := strings.Split(filepath.ToSlash(filepath.Clean(f.Path)), "/")
 	if i := slices.Index(parts, "docs"); i >= 0 {
 		return strings.Repeat("../", len(parts)-i)
--- a/lab/scale/machine.go
+++ b/lab/scale/machine.go
@@ -27,14 +27,14 @@
 
 // Rough needs, on the high side, from first measurements. A plan beyond them is refused before anything starts.
 const (
-	realBase     = 40 << 20 // bytes of a process that knows and holds nothing
-	realListed   = 2500     // bytes of a process for a destination: the runtime lets garbage grow to some times what is live
-	realHeld     = 6000     // bytes of a process for a message held
-	hollowListed = 1600     // bytes of a hollow sender for a destination
-	ownListed    = 700      // bytes of the stand-in of discovery for a destination
-	ownFiles     = 400      // descriptors: listeners, clients' connections, logs, room
-	hollowFiles  = 6        // a gate's listener, both ends of a connection, and one anew of each
-	realFiles    = 150      // gate, connections to discovery, clients' and calls' ends here, the log's pipe
+	realBaseBytes             = 40 << 20 // bytes of a process that knows and holds nothing
+	realDestinationBytes      = 2500     // bytes of a process for a destination: the runtime lets garbage grow to some times what is live
+	realMessageBytes          = 6000     // bytes of a process for a message held
+	simulatedDestinationBytes = 1600     // bytes of a hollow sender for a destination
+	discoveryDestinationBytes = 700      // bytes of the stand-in of discovery for a destination
+	baseDescriptors           = 400      // descriptors: listeners, clients' connections, logs, room
+	simulatedDescriptors      = 6        // a gate's listener, both ends of a connection, and one anew of each
+	realDescriptors           = 150      // gate, connections to discovery, clients' and calls' ends here, the log's pipe
 )
 
 // ThisMachine reads what this machine has.
@@ -65,36 +65,38 @@
 }
 
 // memory is the estimate of a step's need in bytes.
-func (s shape) memory() int64 {
-	real := int64(s.real) * (realBase + int64(s.destinations)*realListed + int64(s.held+s.owed)*realHeld)
-	return real + int64(s.hollow)*int64(s.destinations)*hollowListed + int64(s.destinations)*ownListed
+func (s setup) memoryEstimate() int64 {
+	real := int64(s.real) * (realBaseBytes + int64(s.destinations)*realDestinationBytes + int64(s.held+s.unfinished)*realMessageBytes)
+	return real + int64(s.simulated)*int64(s.destinations)*simulatedDestinationBytes + int64(s.destinations)*discoveryDestinationBytes
 }
 
-func (s shape) files() int { return ownFiles + s.hollow*hollowFiles + s.real*realFiles }
+func (s setup) descriptorEstimate() int {
+	return baseDescriptors + s.simulated*simulatedDescriptors + s.real*realDescriptors
+}
 
 // Fits tells why a plan cannot be played on a machine: one line with the key and its value, nil if it can.
 func (p *Plan) CheckResources(m Machine, axes []string) error {
-	try := func(key string, value int, s shape) error {
+	try := func(key string, value int, s setup) error {
 		switch {
 		case s.real+1 > maxProcesses:
 			return fmt.Errorf("%s: %d, which needs %d processes; a run may have %d", key, value, s.real+1, maxProcesses)
-		case s.memory() > m.Memory/2:
-			return fmt.Errorf("%s: %d, which needs some %d MB; half of this machine's memory is %d MB", key, value, s.memory()>>20, m.Memory/2>>20)
-		case s.files() > m.Descriptors:
-			return fmt.Errorf("%s: %d, which needs %d descriptors; the limit is %d (ulimit -n)", key, value, s.files(), m.Descriptors)
+		case s.memoryEstimate() > m.Memory/2:
+			return fmt.Errorf("%s: %d, which needs some %d MB; half of this machine's memory is %d MB", key, value, s.memoryEstimate()>>20, m.Memory/2>>20)
+		case s.descriptorEstimate() > m.Descriptors:
+			return fmt.Errorf("%s: %d, which needs %d descriptors; the limit is %d (ulimit -n)", key, value, s.descriptorEstimate(), m.Descriptors)
 		}
 		return nil
 	}
 	if n := p.Senders.Real; n+1 > maxProcesses {
 		return fmt.Errorf("senders.real: %d, which needs %d processes; a run may have %d", n, n+1, maxProcesses)
 	}
-	for _, axis := range p.played() {
+	for _, axis := range p.playedAxes() {
 		if !slices.Contains(axes, axis) {
 			continue
 		}
 		if axis == EventsAxis {
-			s := p.eventShape()
-			key, value := "events.hollow", s.hollow
+			s := p.eventSetup()
+			key, value := "events.hollow", s.simulated
 			if s.real+1 > maxProcesses {
 				key, value = "events.real", s.real
 			}
@@ -103,8 +105,8 @@
 			}
 			continue
 		}
-		for _, v := range p.points(axis) {
-			if err := try("axes."+axis, v, p.at(axis, v)); err != nil {
+		for _, v := range p.axisValues(axis) {
+			if err := try("axes."+axis, v, p.pointSetup(axis, v)); err != nil {
 				return err
 			}
 		}
@@ -113,7 +115,7 @@
 }
 
 // usage is what the kernel says of a process.
-type usage struct {
+type processUsage struct {
 	resident, peak int64         // bytes
 	cpu            time.Duration // user and system
 }
@@ -121,7 +123,7 @@
 const clockTick = 10 * time.Millisecond // of /proc/PID/stat on Linux
 
 // usageOf reads a process.
-func usageOf(pid int) (u usage, err error) {
+func readUsage(pid int) (u processUsage, err error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return u, err
--- a/lab/scale/plan.go
+++ b/lab/scale/plan.go
@@ -99,16 +99,16 @@
 func Parse(name string, text []byte) (*Plan, error) {
 	p := Default()
 	if err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(p); err != nil {
-		return nil, decodeFault(name, err)
+		return nil, decodeError(name, err)
 	}
-	if err := p.check(); err != nil {
+	if err := p.validate(); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	return p, nil
 }
 
 // decodeFault is one line with file, line, key and what is wrong with it; the first where there are several.
-func decodeFault(name string, err error) error {
+func decodeError(name string, err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
 		e := &strict.Errors[0]
@@ -124,7 +124,7 @@
 }
 
 // points are the values of an axis; nil if the plan does not play it.
-func (p *Plan) points(axis string) []int {
+func (p *Plan) axisValues(axis string) []int {
 	switch axis {
 	case "destinations":
 		return p.Axes.Destinations
@@ -143,9 +143,9 @@
 }
 
 // leastPoints of an axis: three to fit, one of them for a residual, and one held out.
-const leastPoints = 4
+const minAxisPoints = 4
 
-func (p *Plan) check() error {
+func (p *Plan) validate() error {
 	num := func(key string, v, least, most float64) error {
 		if v >= least && v <= most {
 			return nil
@@ -178,19 +178,19 @@
 			return err
 		}
 	}
-	return p.checkPoints()
+	return p.validateAxes()
 }
 
-func (p *Plan) checkPoints() error {
+func (p *Plan) validateAxes() error {
 	any := len(p.Events.Play) > 0
 	for _, axis := range axisNames {
-		points := p.points(axis)
+		points := p.axisValues(axis)
 		if points == nil {
 			continue
 		}
 		any = true
-		if len(points) < leastPoints {
-			return fmt.Errorf("axes.%s: %v, expected %d points at least", axis, points, leastPoints)
+		if len(points) < minAxisPoints {
+			return fmt.Errorf("axes.%s: %v, expected %d points at least", axis, points, minAxisPoints)
 		}
 		for i, v := range points {
 			if v < 1 || v > 1_000_000 || i > 0 && v <= points[i-1] {
@@ -216,10 +216,10 @@
 }
 
 // played are the axes that the plan plays, with EventsAxis, in order.
-func (p *Plan) played() []string {
+func (p *Plan) playedAxes() []string {
 	var out []string
 	for _, axis := range axisNames {
-		if p.points(axis) != nil {
+		if p.axisValues(axis) != nil {
 			out = append(out, axis)
 		}
 	}
@@ -230,42 +230,42 @@
 }
 
 // shape is what one step sets up.
-type shape struct {
-	real, hollow, destinations, down int
-	held, owed                       int // messages, in each real sender
-	changes                          int // a minute
+type setup struct {
+	real, simulated, destinations, down int
+	held, unfinished                    int // messages, in each real sender
+	changes                             int // a minute
 }
 
 // at is the shape of a point of an axis.
-func (p *Plan) at(axis string, value int) shape {
-	s := shape{real: p.Senders.Real, hollow: p.Base.Simulated, destinations: p.Base.Destinations, changes: p.Base.Changes}
+func (p *Plan) pointSetup(axis string, value int) setup {
+	s := setup{real: p.Senders.Real, simulated: p.Base.Simulated, destinations: p.Base.Destinations, changes: p.Base.Changes}
 	switch axis {
 	case "destinations":
 		s.destinations = value
 	case "held":
 		s.held = value
 	case "hollow":
-		s.hollow = value
+		s.simulated = value
 	case "changes":
 		s.changes = value
 	case "down":
 		s.down = value
 	case "owed":
-		s.owed = value
+		s.unfinished = value
 	}
-	if s.held+s.owed > 0 {
+	if s.held+s.unfinished > 0 {
 		s.down, s.real = 1, 1 // where they are held; one process is enough
 	}
 	return s
 }
 
 // eventShape is that of the events.
-func (p *Plan) eventShape() shape {
+func (p *Plan) eventSetup() setup {
 	e := &p.Events
-	return shape{real: e.Real, hollow: e.Simulated, destinations: e.Destinations, down: int(float64(e.Destinations) * e.DownShare), changes: e.Changes}
+	return setup{real: e.Real, simulated: e.Simulated, destinations: e.Destinations, down: int(float64(e.Destinations) * e.DownShare), changes: e.Changes}
 }
 
 // room is how many messages a sender may hold: more than any step needs.
-func (p *Plan) room() int {
+func (p *Plan) maxMessages() int {
 	return min(1_000_000, max(slices.Max(append([]int{10_000}, p.Axes.Held...)), slices.Max(append([]int{0}, p.Axes.Unfinished...)))+10_000)
 }
--- a/lab/scale/point.go
+++ b/lab/scale/point.go
@@ -67,49 +67,49 @@
 
 // reading is a moment's state of a sender.
 type reading struct {
-	at    time.Time
-	use   usage
-	gate  gateCounts
-	valid bool
+	at      time.Time
+	usage   processUsage
+	gateway gatewayCounts
+	valid   bool
 }
 
-func read(s *sender) reading {
-	u, err := usageOf(s.pid())
-	return reading{time.Now(), u, s.gate.counts(), err == nil}
+func takeReading(s *realSender) reading {
+	u, err := readUsage(s.pid())
+	return reading{time.Now(), u, s.gateway.counts(), err == nil}
 }
 
 // sheet collects a step's rows.
-type sheet struct {
-	axis  string
-	value int
-	mu    sync.Mutex
-	rows  []*Row
-	of    map[string]*Row
+type rowSet struct {
+	axis      string
+	value     int
+	mu        sync.Mutex
+	rows      []*Row
+	bySubject map[string]*Row
 }
 
-func (sh *sheet) row(who string) *Row {
+func (sh *rowSet) row(who string) *Row {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	if r := sh.of[who]; r != nil {
+	if r := sh.bySubject[who]; r != nil {
 		return r
 	}
 	r := &Row{Axis: sh.axis, Value: sh.value, Subject: who, Figures: map[string]float64{}}
-	sh.rows, sh.of[who] = append(sh.rows, r), r
+	sh.rows, sh.bySubject[who] = append(sh.rows, r), r
 	return r
 }
 
-func (sh *sheet) all() []Row {
+func (sh *rowSet) all() []Row {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	var out []Row
 	for _, r := range sh.rows {
 		out = append(out, *r)
 	}
-	slices.SortStableFunc(out, func(a, b Row) int { return order(a.Subject) - order(b.Subject) })
+	slices.SortStableFunc(out, func(a, b Row) int { return subjectOrder(a.Subject) - subjectOrder(b.Subject) })
 	return out
 }
 
-func order(who string) int {
+func subjectOrder(who string) int {
 	return map[string]int{"hollow": 1, "discovery": 2}[who]
 }
 
@@ -120,20 +120,20 @@
 	}
 }
 
-func name(s *sender) string { return fmt.Sprint("r", s.n) }
+func senderSubject(s *realSender) string { return fmt.Sprint("r", s.index) }
 
 // each does something with every sender that has not failed, all at once.
-func (st *stage) each(sh *sheet, f func(*sender, *Row) error) {
+func (st *environment) forEachSender(sh *rowSet, f func(*realSender, *Row) error) {
 	var wg sync.WaitGroup
 	for _, s := range st.senders {
-		row := sh.row(name(s))
+		row := sh.row(senderSubject(s))
 		if row.Failure != "" {
 			continue
 		}
 		wg.Go(func() {
 			err := f(s, row)
 			if err == nil {
-				err = s.died()
+				err = s.unexpectedExit()
 			}
 			row.fail(err)
 		})
@@ -142,39 +142,39 @@
 }
 
 // point plays one point of an axis.
-func (r *run) point(st *stage, axis string, value int) []Row {
-	sh := &sheet{axis: axis, value: value, of: map[string]*Row{}}
+func (r *run) playPoint(st *environment, axis string, value int) []Row {
+	sh := &rowSet{axis: axis, value: value, bySubject: map[string]*Row{}}
 	disc := sh.row("discovery")
 	within, settle, window := r.plan.Within.D(), r.plan.Settle.D(), r.plan.Window.D()
-	st.each(sh, func(s *sender, row *Row) error { return r.begin(st, s, row, "", within) })
-	st.startAllHollow(sh, within)
+	st.forEachSender(sh, func(s *realSender, row *Row) error { return r.startSender(st, s, row, "", within) })
+	st.startAllSimulated(sh, within)
 	if !slices.ContainsFunc(sh.rows, func(r *Row) bool { return r != disc && r.Failure == "" }) { // nobody is there to be measured
 		disc.Failure = "no sender has the list"
 		return sh.all()
 	}
-	if n := st.shape.held + st.shape.owed; n > 0 {
-		st.each(sh, func(s *sender, row *Row) error {
-			taken, took := st.fill(st.ctx, s, n, 12*within)
+	if n := st.setup.held + st.setup.unfinished; n > 0 {
+		st.forEachSender(sh, func(s *realSender, row *Row) error {
+			taken, took := st.submitHeld(st.ctx, s, n, 12*within)
 			row.Figures["intake"] = float64(taken) / took.Seconds()
-			if taken < n && s.died() == nil {
+			if taken < n && s.unexpectedExit() == nil {
 				return fmt.Errorf("%d of %d messages were taken on within %v", taken, n, took.Round(time.Second))
 			}
 			return nil
 		})
 	}
 	if axis == "destinations" || axis == "owed" {
-		st.each(sh, func(s *sender, row *Row) error { return r.again(st, s, row, within) })
+		st.forEachSender(sh, func(s *realSender, row *Row) error { return r.restartSender(st, s, row, within) })
 	}
 	st.sleep(settle)
-	st.window(sh, disc, "rest", window)
-	st.each(sh, func(s *sender, row *Row) error { return memory(st, s, row) })
+	st.measureWindow(sh, disc, "rest", window)
+	st.forEachSender(sh, func(s *realSender, row *Row) error { return measureMemory(st, s, row) })
 	if axis != "owed" {
-		r.busy(st, sh, disc, window)
+		r.measureBusy(st, sh, disc, window)
 	}
 	if axis == "destinations" { // last: what it leaves to do is no part of the windows
-		st.each(sh, func(s *sender, row *Row) error { return st.failure(s, row) })
+		st.forEachSender(sh, func(s *realSender, row *Row) error { return st.measureDiscoveryFailure(s, row) })
 	}
-	disc.Figures["watches"] = float64(st.disc.mostWatches.Load())
+	disc.Figures["watches"] = float64(st.discovery.maxWatches.Load())
 	if err := context.Cause(st.ctx); err != nil { // the step was given up
 		for _, row := range sh.rows {
 			row.fail(err)
@@ -184,27 +184,27 @@
 }
 
 // begin starts a process and waits until it is ready and has the list. The figures' names begin with a prefix.
-func (r *run) begin(st *stage, s *sender, row *Row, prefix string, within time.Duration) error {
-	before := s.gate.counts()
+func (r *run) startSender(st *environment, s *realSender, row *Row, prefix string, within time.Duration) error {
+	before := s.gateway.counts()
 	if err := s.start(st.ctx); err != nil {
 		return err
 	}
-	took, err := s.ready(st.ctx, within)
+	took, err := s.waitReady(st.ctx, within)
 	if err != nil {
 		return err
 	}
 	row.Figures[prefix+"ready"] = took.Seconds()
-	if r.o.started != nil {
-		r.o.started(s)
+	if r.options.onSenderReady != nil {
+		r.options.onSenderReady(s)
 	}
-	took, err = st.heard(st.ctx, s, within)
-	row.Figures[prefix+"start_control"] = float64(s.gate.counts().less(before).out)
+	took, err = st.waitForList(st.ctx, s, within)
+	row.Figures[prefix+"start_control"] = float64(s.gateway.counts().minus(before).sent)
 	if err != nil {
 		return err
 	}
 	row.Figures[prefix+"list"] = took.Seconds()
 	if prefix == "" {
-		if u, err := usageOf(s.pid()); err == nil {
+		if u, err := readUsage(s.pid()); err == nil {
 			row.Figures["cpu_start"] = u.cpu.Seconds()
 		}
 	}
@@ -212,42 +212,42 @@
 }
 
 // again kills the process and starts it with the folder it leaves.
-func (r *run) again(st *stage, s *sender, row *Row, within time.Duration) error {
+func (r *run) restartSender(st *environment, s *realSender, row *Row, within time.Duration) error {
 	s.kill()
-	if err := r.begin(st, s, row, "restart_", 3*within); err != nil {
+	if err := r.startSender(st, s, row, "restart_", 3*within); err != nil {
 		return fmt.Errorf("after a restart: %w", err)
 	}
 	row.Figures["restart_control"] = row.Figures["restart_start_control"]
 	delete(row.Figures, "restart_start_control")
-	line, err := s.counters(st.ctx, within)
+	line, err := s.requestCounters(st.ctx, within)
 	if err != nil {
 		return err
 	}
-	if n, _ := counter(line, "exchange.recovered"); int(n) < st.shape.owed {
-		return fmt.Errorf("%.0f of %d messages were found again after the restart", n, st.shape.owed)
+	if n, _ := parseCounter(line, "exchange.recovered"); int(n) < st.setup.unfinished {
+		return fmt.Errorf("%.0f of %d messages were found again after the restart", n, st.setup.unfinished)
 	}
-	if u, err := usageOf(s.pid()); err == nil {
+	if u, err := readUsage(s.pid()); err == nil {
 		row.Figures["restart_resident"] = float64(u.resident)
 	}
 	return nil
 }
 
 // startAllHollow starts the hollow senders at once and waits until each has a list.
-func (st *stage) startAllHollow(sh *sheet, within time.Duration) {
-	n := st.shape.hollow
+func (st *environment) startAllSimulated(sh *rowSet, within time.Duration) {
+	n := st.setup.simulated
 	if n == 0 {
 		return
 	}
 	row := sh.row("hollow")
-	before := heapNow()
+	before := liveHeap()
 	for i := range n {
-		st.startHollow(i)
+		st.startSimulated(i)
 	}
 	var firsts []float64
 	end := time.Now().Add(within)
 	for {
 		firsts = firsts[:0]
-		for _, h := range st.hollow {
+		for _, h := range st.simulated {
 			if _, first := h.snapshot(hdrhistogram.New(1, int64(10*time.Second), 3)); first > 0 {
 				firsts = append(firsts, first.Seconds())
 			}
@@ -265,11 +265,11 @@
 	}
 	slices.Sort(firsts)
 	row.Figures["list"], row.Figures["list_max"] = stat.Quantile(0.5, stat.Empirical, firsts, nil), firsts[n-1]
-	row.Figures["heap"] = max(0, heapNow()-before) / float64(n)
+	row.Figures["heap"] = max(0, liveHeap()-before) / float64(n)
 }
 
 // heapNow is what this process holds in objects that are in use.
-func heapNow() float64 {
+func liveHeap() float64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
@@ -277,21 +277,21 @@
 }
 
 // window measures processor time and control over a while.
-func (st *stage) window(sh *sheet, disc *Row, kind string, length time.Duration) {
-	all, own := sum(st.gates), sum(st.gates[st.shape.real:])
+func (st *environment) measureWindow(sh *rowSet, disc *Row, kind string, length time.Duration) {
+	all, own := totalCounts(st.gateways), totalCounts(st.gateways[st.setup.real:])
 	begun := time.Now()
-	st.each(sh, func(s *sender, row *Row) error {
-		a := read(s)
+	st.forEachSender(sh, func(s *realSender, row *Row) error {
+		a := takeReading(s)
 		if !st.sleep(length) {
 			return nil
 		}
-		b := read(s)
+		b := takeReading(s)
 		if !a.valid || !b.valid {
 			return fmt.Errorf("process %d has ended", s.pid())
 		}
-		seconds, c := b.at.Sub(a.at).Seconds(), b.gate.less(a.gate)
-		row.Figures["cpu_"+kind] = (b.use.cpu - a.use.cpu).Seconds() / seconds
-		row.Figures["control_"+kind] = float64(c.in+c.out) / seconds
+		seconds, c := b.at.Sub(a.at).Seconds(), b.gateway.minus(a.gateway)
+		row.Figures["cpu_"+kind] = (b.usage.cpu - a.usage.cpu).Seconds() / seconds
+		row.Figures["control_"+kind] = float64(c.received+c.sent) / seconds
 		row.Figures["calls_"+kind] = float64(c.calls+c.notices) / seconds
 		return nil
 	})
@@ -299,44 +299,44 @@
 		st.sleep(left)
 	}
 	seconds := time.Since(begun).Seconds()
-	put := func(row *Row, c gateCounts, n float64) {
-		row.Figures["control_"+kind], row.Figures["calls_"+kind] = float64(c.in+c.out)/seconds/n, float64(c.calls+c.notices)/seconds/n
+	put := func(row *Row, c gatewayCounts, n float64) {
+		row.Figures["control_"+kind], row.Figures["calls_"+kind] = float64(c.received+c.sent)/seconds/n, float64(c.calls+c.notices)/seconds/n
 	}
-	put(disc, sum(st.gates).less(all), 1)
-	if n := float64(len(st.hollow)); n > 0 { // the mean of one
-		put(sh.row("hollow"), sum(st.gates[st.shape.real:]).less(own), n)
+	put(disc, totalCounts(st.gateways).minus(all), 1)
+	if n := float64(len(st.simulated)); n > 0 { // the mean of one
+		put(sh.row("hollow"), totalCounts(st.gateways[st.setup.real:]).minus(own), n)
 	}
 }
 
-func sum(gates []*gate) (all gateCounts) {
+func totalCounts(gates []*gateway) (all gatewayCounts) {
 	for _, g := range gates {
 		all = all.plus(g.counts())
 	}
 	return all
 }
 
-func (c gateCounts) plus(o gateCounts) gateCounts {
-	return gateCounts{c.calls + o.calls, c.wholes + o.wholes, c.notices + o.notices, c.in + o.in, c.out + o.out}
+func (c gatewayCounts) plus(o gatewayCounts) gatewayCounts {
+	return gatewayCounts{c.calls + o.calls, c.fullLists + o.fullLists, c.notices + o.notices, c.received + o.received, c.sent + o.sent}
 }
 
 // memory reads what a process holds. What was to be held must be.
-func memory(st *stage, s *sender, row *Row) error {
-	line, err := s.counters(st.ctx, 5*time.Second)
+func measureMemory(st *environment, s *realSender, row *Row) error {
+	line, err := s.requestCounters(st.ctx, 5*time.Second)
 	if err != nil {
 		return err
 	}
-	held, _ := counter(line, "exchange.held")
-	if n := st.shape.held + st.shape.owed; int(held) < n {
+	held, _ := parseCounter(line, "exchange.held")
+	if n := st.setup.held + st.setup.unfinished; int(held) < n {
 		return fmt.Errorf("%.0f of %d messages are held: %s", held, n, line)
 	}
 	row.Figures["held"] = held
-	if x, ok := counter(line, "process.heap"); ok {
+	if x, ok := parseCounter(line, "process.heap"); ok {
 		row.Figures["heap"] = x
 	}
-	if x, ok := counter(line, "process.heap_live"); ok {
+	if x, ok := parseCounter(line, "process.heap_live"); ok {
 		row.Figures["heap_live"] = x
 	}
-	u, err := usageOf(s.pid())
+	u, err := readUsage(s.pid())
 	if err != nil {
 		return err
 	}
@@ -345,54 +345,54 @@
 }
 
 // failure breaks a sender's connection to discovery once and counts what it takes to stand in a watch again.
-func (st *stage) failure(s *sender, row *Row) error {
-	before := s.gate.counts()
-	s.gate.drop()
-	if err := s.poll(st.ctx, "no watch after a failure", 10*time.Second, func() bool { return s.gate.counts().calls >= before.calls+2 }); err != nil {
+func (st *environment) measureDiscoveryFailure(s *realSender, row *Row) error {
+	before := s.gateway.counts()
+	s.gateway.closeConnections()
+	if err := s.waitUntil(st.ctx, "no watch after a failure", 10*time.Second, func() bool { return s.gateway.counts().calls >= before.calls+2 }); err != nil {
 		return err
 	}
-	row.Figures["failure_control"] = float64(s.gate.counts().less(before).out)
+	row.Figures["failure_control"] = float64(s.gateway.counts().minus(before).sent)
 	return nil
 }
 
 // busy measures under traffic and changes, and how long changes take.
-func (r *run) busy(st *stage, sh *sheet, disc *Row, window time.Duration) {
+func (r *run) measureBusy(st *environment, sh *rowSet, disc *Row, window time.Duration) {
 	ctx, stop := context.WithCancel(st.ctx)
 	defer stop()
 	var wg sync.WaitGroup
 	for _, s := range st.senders {
-		if sh.row(name(s)).Failure == "" {
-			wg.Go(func() { st.traffic(ctx, s, r.plan.Base.Messages, 2*time.Second) })
+		if sh.row(senderSubject(s)).Failure == "" {
+			wg.Go(func() { st.runTraffic(ctx, s, r.plan.Base.Messages, 2*time.Second) })
 		}
 	}
-	for _, h := range st.hollow {
-		h.reset()
+	for _, h := range st.simulated {
+		h.resetStepTimes()
 	}
-	wg.Go(func() { st.changing(ctx, st.shape.changes) })
-	st.window(sh, disc, "busy", window)
+	wg.Go(func() { st.runChanges(ctx, st.setup.changes) })
+	st.measureWindow(sh, disc, "busy", window)
 	stop()
 	wg.Wait()
-	st.settled(inForceWithin)
+	st.waitAdopted(maxChangeDelay)
 	steps := hdrhistogram.New(1, int64(10*time.Second), 3)
-	for _, h := range st.hollow {
+	for _, h := range st.simulated {
 		h.snapshot(steps)
 	}
-	if row := sh.row("hollow"); len(st.hollow) > 0 && row.Failure == "" {
+	if row := sh.row("hollow"); len(st.simulated) > 0 && row.Failure == "" {
 		q := func(p float64) float64 { return float64(steps.ValueAtQuantile(p)) / 1000 }
 		row.Figures["step_p50"], row.Figures["step_p99"], row.Figures["step_max"] = q(50), q(99), float64(steps.Max())/1000
-		put(row, st.book.delays(0, false, -1, time.Now()))
+		putDelays(row, st.tracker.changeDelays(0, false, -1, time.Now()))
 	}
-	st.each(sh, func(s *sender, row *Row) error {
-		put(row, st.book.delays(0, true, s.n, time.Now()))
+	st.forEachSender(sh, func(s *realSender, row *Row) error {
+		putDelays(row, st.tracker.changeDelays(0, true, s.index, time.Now()))
 		return nil
 	})
 }
 
 // settled waits until every change is in force everywhere, for a time.
-func (st *stage) settled(limit time.Duration) bool {
+func (st *environment) waitAdopted(limit time.Duration) bool {
 	for end := time.Now().Add(limit); time.Now().Before(end); {
 		now := time.Now()
-		if st.book.delays(0, true, -1, now).pending+st.book.delays(0, false, -1, now).pending == 0 {
+		if st.tracker.changeDelays(0, true, -1, now).pending+st.tracker.changeDelays(0, false, -1, now).pending == 0 {
 			return true
 		}
 		if !st.sleep(10 * time.Millisecond) {
@@ -403,13 +403,13 @@
 }
 
 // put writes delays into a row.
-func put(row *Row, d delays) {
-	row.Figures["changes"], row.Figures["force_late"] = float64(len(d.took)+d.missing), float64(d.late)
-	if len(d.took) == 0 {
+func putDelays(row *Row, d delayStats) {
+	row.Figures["changes"], row.Figures["force_late"] = float64(len(d.delaysMS)+d.missing), float64(d.late)
+	if len(d.delaysMS) == 0 {
 		return
 	}
-	slices.Sort(d.took)
-	row.Figures["force_p50"] = stat.Quantile(0.5, stat.Empirical, d.took, nil)
-	row.Figures["force_p99"] = stat.Quantile(0.99, stat.Empirical, d.took, nil)
-	row.Figures["force_max"] = d.took[len(d.took)-1]
+	slices.Sort(d.delaysMS)
+	row.Figures["force_p50"] = stat.Quantile(0.5, stat.Empirical, d.delaysMS, nil)
+	row.Figures["force_p99"] = stat.Quantile(0.99, stat.Empirical, d.delaysMS, nil)
+	row.Figures["force_max"] = d.delaysMS[len(d.delaysMS)-1]
 }
--- a/lab/scale/run.go
+++ b/lab/scale/run.go
@@ -33,23 +33,23 @@
 	Axes    []string // to play, of those of the plan; all if empty
 	Log     func(line string)
 
-	started func(*sender) // told of each process that is ready; for tests
+	onSenderReady func(*realSender) // told of each process that is ready; for tests
 }
 
 // run is a run under way.
 type run struct {
-	plan    *Plan
-	program string
-	site    *site
-	starter *process.Starter
-	machine Machine
-	o       Options
-	rows    []Row
+	plan      *Plan
+	program   string
+	addresses *addressBlock
+	starter   *process.Starter
+	machine   Machine
+	options   Options
+	rows      []Row
 }
 
 // Check tells whether a run can be played: one line that names what is wrong. It starts nothing.
 func Check(p *Plan, o *Options, m Machine) error {
-	played := p.played()
+	played := p.playedAxes()
 	for _, axis := range o.Axes {
 		if !slices.Contains(played, axis) {
 			return fmt.Errorf("axis %q: the plan plays %s", axis, strings.Join(played, ", "))
@@ -85,24 +85,24 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	defer debug.SetGCPercent(debug.SetGCPercent(100)) // what this process holds counts in the bound on memory
-	site, err := newSite(p.Seed)
+	site, err := claimAddresses(p.Seed)
 	if err != nil {
 		return nil, err
 	}
 	defer site.claim.Close()
-	r := &run{plan: p, program: o.Program, site: site, starter: process.NewStarter(ctx), machine: m, o: o}
-	for _, axis := range p.played() {
+	r := &run{plan: p, program: o.Program, addresses: site, starter: process.NewStarter(ctx), machine: m, options: o}
+	for _, axis := range p.playedAxes() {
 		if !slices.Contains(o.Axes, axis) {
 			continue
 		}
 		if axis == EventsAxis {
 			for _, name := range p.Events.Play {
-				r.step(ctx, EventsAxis, 0, name, p.eventShape(), func(st *stage) []Row { return r.event(st, name) })
+				r.runStep(ctx, EventsAxis, 0, name, p.eventSetup(), func(st *environment) []Row { return r.playEvent(st, name) })
 			}
 			continue
 		}
-		for _, v := range p.points(axis) {
-			r.step(ctx, axis, v, "", p.at(axis, v), func(st *stage) []Row { return r.point(st, axis, v) })
+		for _, v := range p.axisValues(axis) {
+			r.runStep(ctx, axis, v, "", p.pointSetup(axis, v), func(st *environment) []Row { return r.playPoint(st, axis, v) })
 		}
 	}
 	if ctx.Err() != nil {
@@ -112,7 +112,7 @@
 }
 
 // step sets a stage up, plays on it and keeps the rows.
-func (r *run) step(ctx context.Context, axis string, value int, event string, s shape, play func(*stage) []Row) {
+func (r *run) runStep(ctx context.Context, axis string, value int, event string, s setup, play func(*environment) []Row) {
 	if ctx.Err() != nil {
 		return
 	}
@@ -121,9 +121,9 @@
 		what = event
 	}
 	began := time.Now()
-	rows, err := r.play(ctx, s, play)
+	rows, err := r.playStep(ctx, s, play)
 	if err != nil && ctx.Err() == nil {
-		r.o.Log(fmt.Sprintf("%s: failed: %v", what, err))
+		r.options.Log(fmt.Sprintf("%s: failed: %v", what, err))
 		who := event
 		if who == "" {
 			who = "step"
@@ -140,25 +140,25 @@
 			failed++
 		}
 	}
-	r.o.Log(fmt.Sprintf("%-22s %6.1f s  %d rows, %d failed", what, time.Since(began).Seconds(), len(rows), failed))
+	r.options.Log(fmt.Sprintf("%-22s %6.1f s  %d rows, %d failed", what, time.Since(began).Seconds(), len(rows), failed))
 }
 
-func (r *run) play(ctx context.Context, s shape, play func(*stage) []Row) ([]Row, error) {
+func (r *run) playStep(ctx context.Context, s setup, play func(*environment) []Row) ([]Row, error) {
 	debug.FreeOSMemory()
-	own, err := usageOf(os.Getpid())
+	own, err := readUsage(os.Getpid())
 	if err != nil {
 		return nil, err
 	}
-	if need, half := own.resident+s.memory(), r.machine.Memory/2; need > half {
+	if need, half := own.resident+s.memoryEstimate(), r.machine.Memory/2; need > half {
 		return nil, fmt.Errorf("given up: %d MB are resident and the step needs some %d MB; half of this machine's memory is %d MB",
-			own.resident>>20, s.memory()>>20, half>>20)
+			own.resident>>20, s.memoryEstimate()>>20, half>>20)
 	}
-	st, err := newStage(ctx, r, s)
+	st, err := newEnvironment(ctx, r, s)
 	if err != nil {
 		return nil, err
 	}
 	defer st.close()
-	st.wg.Go(func() { r.watch(st) })
+	st.wg.Go(func() { r.watchMemory(st) })
 	return play(st), nil
 }
 
@@ -166,11 +166,11 @@
 var errMemory = errors.New("given up: half of this machine's memory is resident")
 
 // watch breaks a step off that takes more than half of the memory.
-func (r *run) watch(st *stage) {
+func (r *run) watchMemory(st *environment) {
 	for st.sleep(300 * time.Millisecond) {
 		var sum int64
-		for _, pid := range st.pids() {
-			if u, err := usageOf(pid); err == nil { // it may have ended
+		for _, pid := range st.processIDs() {
+			if u, err := readUsage(pid); err == nil { // it may have ended
 				sum += u.resident
 			}
 		}
@@ -182,11 +182,11 @@
 }
 
 // pids are the processes of a stage, with this one.
-func (st *stage) pids() []int {
+func (st *environment) processIDs() []int {
 	out := []int{os.Getpid()}
 	for _, s := range st.senders {
 		s.mu.Lock()
-		if s.cmd != nil && s.ended == nil {
+		if s.cmd != nil && s.exitErr == nil {
 			out = append(out, s.cmd.Process.Pid)
 		}
 		s.mu.Unlock()
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -94,7 +94,7 @@
 		}
 	}
 	for _, axis := range axisNames {
-		for _, v := range p.points(axis) {
+		for _, v := range p.axisValues(axis) {
 			have := one(rows, axis, v)
 			for _, who := range []string{"r0", "hollow", "discovery"} {
 				if _, ok := have[who]; !ok {
@@ -146,7 +146,7 @@
 		t.Errorf("the control of the largest list is not predicted: %+v", f)
 	}
 	out := &Folder{Path: t.TempDir(), Plan: p, PlanText: text}
-	out.ReplaceRows(p.played(), rows)
+	out.ReplaceRows(p.playedAxes(), rows)
 	if err := out.Save(); err != nil {
 		t.Error(err)
 	}
@@ -182,8 +182,8 @@
 // A process that dies within a run makes a failed row with the reason; the other senders' rows and the later points stand.
 func TestAProcessThatDiesIsAFailedRow(t *testing.T) {
 	killed := 0
-	rows, err := play(t, t.Context(), tiny("destinations"), Options{Program: daemon(t), started: func(s *sender) {
-		if s.n == 1 && killed == 0 {
+	rows, err := play(t, t.Context(), tiny("destinations"), Options{Program: daemon(t), onSenderReady: func(s *realSender) {
+		if s.index == 1 && killed == 0 {
 			killed = s.pid()
 			syscall.Kill(killed, syscall.SIGKILL)
 		}
@@ -204,8 +204,8 @@
 		}
 	}
 	// In an event too, where the row is the event's.
-	rows, err = play(t, t.Context(), tiny(EventsAxis), Options{Program: daemon(t), started: func(s *sender) {
-		if s.n == 1 {
+	rows, err = play(t, t.Context(), tiny(EventsAxis), Options{Program: daemon(t), onSenderReady: func(s *realSender) {
+		if s.index == 1 {
 			time.AfterFunc(700*time.Millisecond, func() { syscall.Kill(s.pid(), syscall.SIGKILL) })
 		}
 	}}, machine)
@@ -255,7 +255,7 @@
 	var mu sync.Mutex
 	var pids []int
 	var toldAt time.Time
-	_, err := play(t, ctx, tiny("destinations"), Options{Program: daemon(t), started: func(s *sender) {
+	_, err := play(t, ctx, tiny("destinations"), Options{Program: daemon(t), onSenderReady: func(s *realSender) {
 		mu.Lock()
 		defer mu.Unlock()
 		if pids = append(pids, s.pid()); len(pids) == 2 {
@@ -325,7 +325,7 @@
 	for _, name := range []string{"scale-small.toml", "scale-large.toml", "scale-held.toml"} {
 		p, err := Load("../plans/" + name)
 		if err == nil {
-			err = p.CheckResources(Machine{Memory: 20 << 30, Descriptors: 20_000, Cores: 8}, p.played())
+			err = p.CheckResources(Machine{Memory: 20 << 30, Descriptors: 20_000, Cores: 8}, p.playedAxes())
 		}
 		if err != nil {
 			t.Error(err)
@@ -348,7 +348,7 @@
 	if f := at(func(x float64) float64 { return math.Exp(x) }); f.Shape != Nonlinear || !math.IsNaN(f.Predicted) {
 		t.Errorf("what is no line is extended: %+v", f)
 	}
-	if f := at(func(x float64) float64 { return 100 + 0.9*x + map[float64]float64{2: 2, 4: -3, 8: 1}[x] }); f.Shape != Nonlinear || f.MaxResidual > offLine {
+	if f := at(func(x float64) float64 { return 100 + 0.9*x + map[float64]float64{2: 2, 4: -3, 8: 1}[x] }); f.Shape != Nonlinear || f.MaxResidual > maxLinearResidual {
 		t.Errorf("a trend in noise: %+v", f)
 	}
 	if f := at(func(float64) float64 { return 0 }); f.Shape != Flat || f.Predicted != 0 || !math.IsNaN(f.RelativeError()) {
--- a/lab/scale/stage.go
+++ b/lab/scale/stage.go
@@ -21,56 +21,56 @@
 
 // site is a part of this machine's loopback addresses that no other run uses: one address each for gates, senders and
 // destinations, so that no port of theirs is taken by a connection that goes out, and a listener that ends can come back.
-type site struct {
-	claim                              net.Listener
-	gates, senders, destinations, none string
+type addressBlock struct {
+	claim                                        net.Listener
+	gatewayIP, senderIP, destinationIP, unusedIP string
 }
 
 const claimPort = 19999
 
-func newSite(seed uint64) (*site, error) {
+func claimAddresses(seed uint64) (*addressBlock, error) {
 	rng := rand.New(rand.NewPCG(seed, uint64(time.Now().UnixNano())))
 	var err error
 	for range 100 {
 		net24 := fmt.Sprintf("127.%d.%d.", 64+rng.IntN(128), 1+rng.IntN(254))
 		var claim net.Listener
 		if claim, err = net.Listen("tcp", fmt.Sprintf("%s1:%d", net24, claimPort)); err == nil {
-			return &site{claim, net24 + "2", net24 + "3", net24 + "4", net24 + "5"}, nil
+			return &addressBlock{claim, net24 + "2", net24 + "3", net24 + "4", net24 + "5"}, nil
 		}
 	}
 	return nil, fmt.Errorf("no loopback addresses beside 127.0.0.1 to listen on: %w", err)
 }
 
 // stage is what stands during a step.
-type stage struct {
-	plan    *Plan
-	shape   shape
-	site    *site
-	dir     string
-	disc    *discovery
-	dests   *destinations
-	book    *book
-	set     *rules.Settings
-	names   *settings.Names
-	senders []*sender
-	hollow  []*hollow
-	gates   []*gate // the real senders' first
+type environment struct {
+	plan         *Plan
+	setup        setup
+	addresses    *addressBlock
+	dir          string
+	discovery    *discovery
+	destinations *destinations
+	tracker      *tracker
+	settings     *rules.Settings
+	names        *settings.Names
+	senders      []*realSender
+	simulated    []*simulatedSender
+	gateways     []*gateway // the real senders' first
 
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 	wg     sync.WaitGroup
 
-	mu      sync.Mutex
-	current map[int]platform.Entry // by destination, where it is not the first endpoint
-	leaving map[int]platform.Entry
-	order   []int // destinations in the order in which they change
-	next    int
-	shut    int   // zone whose destinations do not change now, as they cannot be reached; negative for none
-	down    []int // destinations that are down all along
+	mu                sync.Mutex
+	currentEndpoints  map[int]platform.Entry // by destination, where it is not the first endpoint
+	drainingEndpoints map[int]platform.Entry
+	changeOrder       []int // destinations in the order in which they change
+	changesMade       int
+	stoppedZone       int   // zone whose destinations do not change now, as they cannot be reached; negative for none
+	downDestinations  []int // destinations that are down all along
 }
 
-func newStage(ctx context.Context, r *run, s shape) (st *stage, err error) {
-	st = &stage{plan: r.plan, shape: s, site: r.site, book: newBook(), shut: -1, current: map[int]platform.Entry{}, leaving: map[int]platform.Entry{}}
+func newEnvironment(ctx context.Context, r *run, s setup) (st *environment, err error) {
+	st = &environment{plan: r.plan, setup: s, addresses: r.addresses, tracker: newTracker(), stoppedZone: -1, currentEndpoints: map[int]platform.Entry{}, drainingEndpoints: map[int]platform.Entry{}}
 	st.ctx, st.cancel = context.WithCancelCause(ctx)
 	defer func() {
 		if err != nil {
@@ -80,26 +80,26 @@
 	if st.dir, err = os.MkdirTemp("", "eiderlab-scale"); err != nil {
 		return st, err
 	}
-	text, err := json.Marshal(settingsFor(r.plan, s))
+	text, err := json.Marshal(senderSettings(r.plan, s))
 	if err != nil {
 		return st, err
 	}
-	if st.set, st.names, err = settings.DecodeChecked(text, r.plan.Seed); err != nil {
+	if st.settings, st.names, err = settings.DecodeChecked(text, r.plan.Seed); err != nil {
 		return st, err
 	}
-	if st.dests, err = newDestinations(r.site.destinations, r.site.none, r.plan.Base.ListedRate, st.book.arrived); err != nil {
+	if st.destinations, err = newDestinations(r.addresses.destinationIP, r.addresses.unusedIP, r.plan.Base.ListedRate, st.tracker.recordCall); err != nil {
 		return st, err
 	}
-	st.disc = newDiscovery(st.entries(), st.book.noticed)
-	for i := range s.real + s.hollow {
-		g, err := newGate(st.disc, fmt.Sprintf("%s:%d", r.site.gates, 20000+i))
+	st.discovery = newDiscovery(st.initialEntries(), st.tracker.recordNotice)
+	for i := range s.real + s.simulated {
+		g, err := newGateway(st.discovery, fmt.Sprintf("%s:%d", r.addresses.gatewayIP, 20000+i))
 		if err != nil {
 			return st, err
 		}
-		st.gates = append(st.gates, g)
+		st.gateways = append(st.gateways, g)
 	}
 	for i := range s.real {
-		one, err := newSender(r.plan, s, i, r.starter, r.program, st.dir, fmt.Sprintf("%s:%d", r.site.senders, 20000+i), st.gates[i])
+		one, err := newRealSender(r.plan, s, i, r.starter, r.program, st.dir, fmt.Sprintf("%s:%d", r.addresses.senderIP, 20000+i), st.gateways[i])
 		if err != nil {
 			return st, err
 		}
@@ -109,44 +109,44 @@
 }
 
 // entries is the first list. Destinations that are down lie evenly among the others.
-func (st *stage) entries() []platform.Entry {
-	n := st.shape.destinations
+func (st *environment) initialEntries() []platform.Entry {
+	n := st.setup.destinations
 	every := n
-	if st.shape.down > 0 {
-		every = n / st.shape.down
+	if st.setup.down > 0 {
+		every = n / st.setup.down
 	}
 	list := make([]platform.Entry, n)
 	for i := range list {
-		down := len(st.down) < st.shape.down && i%every == every-1
+		down := len(st.downDestinations) < st.setup.down && i%every == every-1
 		if down {
-			st.down = append(st.down, i)
+			st.downDestinations = append(st.downDestinations, i)
 		} else {
-			st.order = append(st.order, i)
+			st.changeOrder = append(st.changeOrder, i)
 		}
-		list[i] = st.dests.entry(i, 0, fmt.Sprintf("s-%08x", i), down)
+		list[i] = st.destinations.entry(i, 0, fmt.Sprintf("s-%08x", i), down)
 	}
 	rng := rand.New(rand.NewPCG(st.plan.Seed, 3))
-	rng.Shuffle(len(st.order), func(i, j int) { st.order[i], st.order[j] = st.order[j], st.order[i] })
+	rng.Shuffle(len(st.changeOrder), func(i, j int) { st.changeOrder[i], st.changeOrder[j] = st.changeOrder[j], st.changeOrder[i] })
 	return list
 }
 
 // close ends all of it.
-func (st *stage) close() {
+func (st *environment) close() {
 	st.cancel(errors.New("the step is over"))
 	for _, s := range st.senders {
 		s.kill()
 	}
 	var wg sync.WaitGroup
-	for _, h := range st.hollow {
+	for _, h := range st.simulated {
 		wg.Go(h.stop)
 	}
-	for _, g := range st.gates {
-		wg.Go(g.down)
+	for _, g := range st.gateways {
+		wg.Go(g.stop)
 	}
 	wg.Wait()
 	st.wg.Wait()
-	if st.dests != nil {
-		st.dests.close()
+	if st.destinations != nil {
+		st.destinations.close()
 	}
 	if st.dir != "" {
 		_ = os.RemoveAll(st.dir) // what stays is in the system's folder for such
@@ -154,53 +154,53 @@
 }
 
 // startHollow starts the hollow sender of a number, which may have been one before.
-func (st *stage) startHollow(i int) {
-	h := startHollow(i, st.gates[st.shape.real+i], st.set, st.names, st.plan.Seed, st.plan.Base.SimulatedMessages, 16*time.Second, st.dests.isOpen, st.book.heard)
-	if i < len(st.hollow) {
-		st.hollow[i] = h
+func (st *environment) startSimulated(i int) {
+	h := startSimulated(i, st.gateways[st.setup.real+i], st.settings, st.names, st.plan.Seed, st.plan.Base.SimulatedMessages, 16*time.Second, st.destinations.isAccepting, st.tracker.recordSimulatedAdoption)
+	if i < len(st.simulated) {
+		st.simulated[i] = h
 	} else {
-		st.hollow = append(st.hollow, h)
+		st.simulated = append(st.simulated, h)
 	}
 }
 
 // change puts another endpoint in the place of a destination's. The old one drains, the one before it goes.
-func (st *stage) change() *change {
+func (st *environment) publishChange() *change {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	dest := st.order[st.next%len(st.order)]
-	for st.next++; dest%zones == st.shut; st.next++ {
-		dest = st.order[st.next%len(st.order)]
+	dest := st.changeOrder[st.changesMade%len(st.changeOrder)]
+	for st.changesMade++; dest%zoneCount == st.stoppedZone; st.changesMade++ {
+		dest = st.changeOrder[st.changesMade%len(st.changeOrder)]
 	}
-	c := st.book.changing(dest)
-	old, changed := st.current[dest]
+	c := st.tracker.addChange(dest)
+	old, changed := st.currentEndpoints[dest]
 	if !changed {
-		old = st.dests.entry(dest, 0, fmt.Sprintf("s-%08x", dest), false)
+		old = st.destinations.entry(dest, 0, fmt.Sprintf("s-%08x", dest), false)
 	}
-	fresh := st.dests.entry(dest, c.side, fmt.Sprint("g-", c.n), false)
+	fresh := st.destinations.entry(dest, c.side, fmt.Sprint("g-", c.number), false)
 	var list []platform.Entry
-	if gone, ok := st.leaving[dest]; ok {
+	if gone, ok := st.drainingEndpoints[dest]; ok {
 		gone.Health = "Gone"
 		list = append(list, gone)
 	}
 	old.Health = "Terminating"
-	st.current[dest], st.leaving[dest] = fresh, old
-	st.book.publishing(c)
+	st.currentEndpoints[dest], st.drainingEndpoints[dest] = fresh, old
+	st.tracker.markPublished(c)
 	for _, s := range st.senders {
-		if s.died() == nil {
-			st.book.could(c, s.n, true, later(s.since(), s.gate.reachable()))
+		if s.unexpectedExit() == nil {
+			st.tracker.markVisible(c, s.index, true, laterOf(s.startTime(), s.gateway.reachableSince()))
 		}
 	}
-	for _, h := range st.hollow {
-		st.book.could(c, h.n, false, later(h.begun, h.gate.reachable()))
+	for _, h := range st.simulated {
+		st.tracker.markVisible(c, h.index, false, laterOf(h.startedAt, h.gateway.reachableSince()))
 	}
-	st.disc.publish(append(list, old, fresh)...)
+	st.discovery.publish(append(list, old, fresh)...)
 	for _, s := range st.senders {
 		st.wg.Go(func() { st.probe(c, s) })
 	}
 	return c
 }
 
-func later(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
@@ -209,38 +209,38 @@
 
 // probeEvery is between two messages that are to show whether a change is in force: the grain of that measurement.
 const (
-	probeEvery  = 10 * time.Millisecond
-	probeSlowly = 200 * time.Millisecond // after the first second
-	probeLasts  = 2 * time.Second
+	probeInterval     = 10 * time.Millisecond
+	slowProbeInterval = 200 * time.Millisecond // after the first second
+	probeLifetime     = 2 * time.Second
 )
 
 // probe hands in messages for a changed destination until one goes by the change, or its time is over; and then two more,
 // which must not go the old way.
-func (st *stage) probe(c *change, s *sender) {
+func (st *environment) probe(c *change, s *realSender) {
 	begun, n := time.Now(), 0
 	hand := func() bool {
 		n++
-		s.hand(probeName(c.n, s.n, n), classSafe, c.dest, probeLasts)
-		pause := probeEvery
+		s.submit(probeID(c.number, s.index, n), classSafe, c.dest, probeLifetime)
+		pause := probeInterval
 		if time.Since(begun) > time.Second {
-			pause = probeSlowly
+			pause = slowProbeInterval
 		}
 		return st.sleep(pause)
 	}
-	for !st.book.inForce(c, s.n) {
-		if st.book.over(c, s.n) || !hand() {
+	for !st.tracker.adopted(c, s.index) {
+		if st.tracker.obsolete(c, s.index) || !hand() {
 			return
 		}
 	}
 	for range 2 {
-		if !st.sleep(staleAfter*6/10) || !hand() {
+		if !st.sleep(staleGrace*6/10) || !hand() {
 			return
 		}
 	}
 }
 
 // sleep is false if the stage ends meanwhile.
-func (st *stage) sleep(d time.Duration) bool {
+func (st *environment) sleep(d time.Duration) bool {
 	select {
 	case <-st.ctx.Done():
 		return false
@@ -250,7 +250,7 @@
 }
 
 // changing makes changes at an even rate until the context ends.
-func (st *stage) changing(ctx context.Context, aMinute int) {
+func (st *environment) runChanges(ctx context.Context, aMinute int) {
 	if aMinute == 0 {
 		return
 	}
@@ -258,7 +258,7 @@
 	tick := time.NewTicker(every)
 	defer tick.Stop()
 	for {
-		st.change()
+		st.publishChange()
 		select {
 		case <-ctx.Done():
 			return
@@ -269,14 +269,14 @@
 
 // traffic hands messages in to a sender at an even rate until the context ends, however late the answers are, and waits for those
 // that are out. Every third may not run twice.
-func (st *stage) traffic(ctx context.Context, s *sender, rate float64, lasts time.Duration) {
+func (st *environment) runTraffic(ctx context.Context, s *realSender, rate float64, lasts time.Duration) {
 	if rate <= 0 {
 		return
 	}
-	rng := rand.New(rand.NewPCG(st.plan.Seed, uint64(1000+s.n)))
+	rng := rand.New(rand.NewPCG(st.plan.Seed, uint64(1000+s.index)))
 	tick := time.NewTicker(time.Duration(float64(time.Second) / rate))
 	defer tick.Stop()
-	room := make(chan struct{}, clientConns/2)
+	room := make(chan struct{}, maxClientConns/2)
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for n := 0; ; n++ {
@@ -285,8 +285,8 @@
 			return
 		case <-tick.C:
 		}
-		once, dest := n%3 == 2, rng.IntN(st.shape.destinations)
-		id, class := trafficName(s.n, n, once), classSafe
+		once, dest := n%3 == 2, rng.IntN(st.setup.destinations)
+		id, class := trafficID(s.index, n, once), classSafe
 		if once {
 			class = classOnce
 		}
@@ -297,21 +297,21 @@
 		}
 		wg.Go(func() {
 			defer func() { <-room }()
-			st.book.handing(id, message{sender: s.n, dest: dest, once: once, due: time.Now().Add(lasts)})
-			st.book.answered(id, s.hand(id, class, dest, lasts) == 202)
+			st.tracker.recordSubmission(id, message{sender: s.index, dest: dest, atMostOnce: once, deadline: time.Now().Add(lasts)})
+			st.tracker.recordAnswer(id, s.submit(id, class, dest, lasts) == 202)
 		})
 	}
 }
 
 // fill hands in messages that a sender will hold, as fast as it takes them, and returns how many it took and in what time.
-func (st *stage) fill(ctx context.Context, s *sender, n int, limit time.Duration) (taken int, took time.Duration) {
+func (st *environment) submitHeld(ctx context.Context, s *realSender, n int, limit time.Duration) (taken int, took time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	begun := time.Now()
 	var mu sync.Mutex
 	next := 0
 	var wg sync.WaitGroup
-	for range clientConns {
+	for range maxClientConns {
 		wg.Go(func() {
 			for ctx.Err() == nil {
 				mu.Lock()
@@ -321,8 +321,8 @@
 				if i >= n {
 					return
 				}
-				for ctx.Err() == nil && s.died() == nil {
-					if s.hand(fmt.Sprintf("f-%d-%d", s.n, i), classHeld, st.down[0], holdFor) == 202 {
+				for ctx.Err() == nil && s.unexpectedExit() == nil {
+					if s.submit(fmt.Sprintf("f-%d-%d", s.index, i), classHeld, st.downDestinations[0], holdTime) == 202 {
 						mu.Lock()
 						taken++
 						mu.Unlock()
@@ -339,11 +339,11 @@
 
 // heard waits until a sender takes a message for a destination that only discovery's list names, and returns how long after
 // its start that was.
-func (st *stage) heard(ctx context.Context, s *sender, limit time.Duration) (time.Duration, error) {
+func (st *environment) waitForList(ctx context.Context, s *realSender, limit time.Duration) (time.Duration, error) {
 	n := 0
-	err := s.poll(ctx, "the list was not heard", limit, func() bool {
+	err := s.waitUntil(ctx, "the list was not heard", limit, func() bool {
 		n++
-		return s.hand(fmt.Sprintf("f-list-%d-%d-%d", s.n, n, time.Now().UnixNano()), classSafe, st.order[0], probeLasts) == 202
+		return s.submit(fmt.Sprintf("f-list-%d-%d-%d", s.index, n, time.Now().UnixNano()), classSafe, st.changeOrder[0], probeLifetime) == 202
 	})
-	return time.Since(s.since()), err
+	return time.Since(s.startTime()), err
 }
--- a/lab/scale/book_test.go
+++ b/lab/scale/tracker_test.go
@@ -23,45 +23,45 @@
 	never := func(int) time.Time { return time.Time{} }
 	now := time.Now()
 	for name, c := range map[string]struct {
-		play    func(b *book)
+		play    func(b *tracker)
 		excused func(int) time.Time
 		want    verdict
 		says    string
 	}{
-		"delivered":    {func(b *book) { b.arrived("t-0-1-s", 0) }, never, verdict{delivered: 1}, ""},
-		"told":         {func(b *book) { b.noticed("t-0-1-s", "dead") }, never, verdict{told: 1}, ""},
-		"lost":         {func(b *book) {}, never, verdict{lost: 1}, "t-0-1-s was taken on and has no end"},
-		"repeated":     {func(b *book) { b.arrived("t-0-1-s", 0); b.arrived("t-0-1-s", 0) }, never, verdict{delivered: 1}, ""},
-		"late":         {func(b *book) { b.msgs["t-0-1-s"].due = now.Add(-time.Second); b.arrived("t-0-1-s", 0) }, never, verdict{delivered: 1, late: 1}, "after its time"},
-		"late by kill": {func(b *book) { b.msgs["t-0-1-s"].due = now.Add(-time.Second); b.arrived("t-0-1-s", 0) }, func(int) time.Time { return now }, verdict{delivered: 1}, ""},
+		"delivered":    {func(b *tracker) { b.recordCall("t-0-1-s", 0) }, never, verdict{delivered: 1}, ""},
+		"told":         {func(b *tracker) { b.recordNotice("t-0-1-s", "dead") }, never, verdict{notified: 1}, ""},
+		"lost":         {func(b *tracker) {}, never, verdict{lost: 1}, "t-0-1-s was taken on and has no end"},
+		"repeated":     {func(b *tracker) { b.recordCall("t-0-1-s", 0); b.recordCall("t-0-1-s", 0) }, never, verdict{delivered: 1}, ""},
+		"late":         {func(b *tracker) { b.messages["t-0-1-s"].deadline = now.Add(-time.Second); b.recordCall("t-0-1-s", 0) }, never, verdict{delivered: 1, late: 1}, "after its time"},
+		"late by kill": {func(b *tracker) { b.messages["t-0-1-s"].deadline = now.Add(-time.Second); b.recordCall("t-0-1-s", 0) }, func(int) time.Time { return now }, verdict{delivered: 1}, ""},
 	} {
-		b := newBook()
-		b.handing("t-0-1-s", message{due: now.Add(time.Minute)})
-		b.answered("t-0-1-s", true)
-		b.handing("t-0-2-o", message{once: true, due: now}) // not taken on: nothing is owed
+		b := newTracker()
+		b.recordSubmission("t-0-1-s", message{deadline: now.Add(time.Minute)})
+		b.recordAnswer("t-0-1-s", true)
+		b.recordSubmission("t-0-2-o", message{atMostOnce: true, deadline: now}) // not taken on: nothing is owed
 		c.play(b)
 		v := b.judge(c.excused)
-		v.worstLate = 0
-		first := v.first
-		v.first = ""
-		c.want.handed, c.want.taken = 2, 1
+		v.longestDelay = 0
+		first := v.firstViolation
+		v.firstViolation = ""
+		c.want.submitted, c.want.accepted = 2, 1
 		if v != c.want || !strings.Contains(first, c.says) || (first == "") != (c.says == "") {
 			t.Errorf("%s: %+v %q, want %+v %q", name, v, first, c.want, c.says)
 		}
 	}
-	b := newBook()
+	b := newTracker()
 	for _, id := range []string{"t-0-1-o", "t-0-2-o"} {
-		b.handing(id, message{once: true, due: now.Add(time.Minute)})
-		b.answered(id, true)
-	}
-	b.arrived("t-0-1-o", 0)
-	b.arrived("t-0-1-o", 0)
-	b.arrived("t-0-2-o", 0)
-	b.noticed("t-0-2-o", "bounced")
-	if v := b.judge(never); v.doubled != 2 || v.lost != 0 {
+		b.recordSubmission(id, message{atMostOnce: true, deadline: now.Add(time.Minute)})
+		b.recordAnswer(id, true)
+	}
+	b.recordCall("t-0-1-o", 0)
+	b.recordCall("t-0-1-o", 0)
+	b.recordCall("t-0-2-o", 0)
+	b.recordNotice("t-0-2-o", "bounced")
+	if v := b.judge(never); v.duplicated != 2 || v.lost != 0 {
 		t.Errorf("ran twice, and ran and was told of as harmless: %+v", v)
 	}
-	if b.owed() != 0 {
+	if b.unfinished() != 0 {
 		t.Error("nothing is owed")
 	}
 }
@@ -69,40 +69,40 @@
 // A change is timed from when its sender could hear of it; a call the old way after one by it is seen, unless it just crossed or a
 // later change made the old place the new one.
 func TestChangesAreTimed(t *testing.T) {
-	b := newBook()
-	c := b.changing(5)
-	b.publishing(c)
+	b := newTracker()
+	c := b.addChange(5)
+	b.markPublished(c)
 	for s := range 3 {
-		b.could(c, s, true, time.Time{})
-		b.could(c, s, false, time.Time{})
-	}
-	b.arrived(probeName(c.n, 0, 1), 1-c.side) // not by it yet
-	b.arrived(probeName(c.n, 0, 2), c.side)
-	b.arrived(probeName(c.n, 0, 3), 1-c.side) // crossed
-	b.heard(c.n, 2)
-	if d := b.delays(0, true, -1, time.Now()); len(d.took) != 1 || d.pending != 2 || d.late != 0 {
+		b.markVisible(c, s, true, time.Time{})
+		b.markVisible(c, s, false, time.Time{})
+	}
+	b.recordCall(probeID(c.number, 0, 1), 1-c.side) // not by it yet
+	b.recordCall(probeID(c.number, 0, 2), c.side)
+	b.recordCall(probeID(c.number, 0, 3), 1-c.side) // crossed
+	b.recordSimulatedAdoption(c.number, 2)
+	if d := b.changeDelays(0, true, -1, time.Now()); len(d.delaysMS) != 1 || d.pending != 2 || d.late != 0 {
 		t.Errorf("real: %+v", d)
 	}
-	if d := b.delays(0, false, 2, time.Now()); len(d.took) != 1 || d.pending != 0 {
+	if d := b.changeDelays(0, false, 2, time.Now()); len(d.delaysMS) != 1 || d.pending != 0 {
 		t.Errorf("hollow: %+v", d)
 	}
-	later := time.Now().Add(inForceWithin + time.Second)
-	if d := b.delays(0, true, -1, later); d.late != 2 || d.missing != 2 || d.worst < inForceWithin {
+	later := time.Now().Add(maxChangeDelay + time.Second)
+	if d := b.changeDelays(0, true, -1, later); d.late != 2 || d.missing != 2 || d.longest < maxChangeDelay {
 		t.Errorf("past their time: %+v", d)
 	}
-	b.returned(1, true, later) // cut off until then
-	if d := b.delays(0, true, -1, later); d.late != 1 || d.pending != 1 {
+	b.markReachable(1, true, later) // cut off until then
+	if d := b.changeDelays(0, true, -1, later); d.late != 1 || d.pending != 1 {
 		t.Errorf("past their time, one of them cut off: %+v", d)
 	}
-	b.probed(c.n, 0, 1-c.side, time.Now().Add(2*staleAfter))
-	if v := b.judge(func(int) time.Time { return time.Time{} }); v.stale != 1 || !strings.Contains(v.first, "by the list before change 0") {
+	b.recordProbe(c.number, 0, 1-c.side, time.Now().Add(2*staleGrace))
+	if v := b.judge(func(int) time.Time { return time.Time{} }); v.stale != 1 || !strings.Contains(v.firstViolation, "by the list before change 0") {
 		t.Errorf("the old way: %+v", v)
 	}
-	again := b.changing(5)
-	if again.side == c.side || c.last || !b.over(c, 1) {
+	again := b.addChange(5)
+	if again.side == c.side || c.latest || !b.obsolete(c, 1) {
 		t.Errorf("a later change of the same destination: %+v %+v", c, again)
 	}
-	if d := b.delays(0, true, 1, time.Now()); d.moot != 1 || d.pending != 0 {
+	if d := b.changeDelays(0, true, 1, time.Now()); d.superseded != 1 || d.pending != 0 {
 		t.Errorf("overtaken: %+v", d)
 	}
 }
@@ -131,11 +131,11 @@
 	}
 	told := map[string]string{}
 	d := newDiscovery([]platform.Entry{entry("a", "Ready"), entry("b", "Ready")}, func(id, result string) { told[id] = result })
-	g, err := newGate(d, "127.0.0.1:0")
+	g, err := newGateway(d, "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer g.down()
+	defer g.stop()
 	addr := g.srv.Addr()
 	check := func(after, wantSeq string, wantHosts ...string) {
 		t.Helper()
@@ -158,7 +158,7 @@
 	check("?after=3&wait_ms=1", `{"seq":3,"whole":false`)
 	check("?after=0&wait_ms=0", `{"seq":3,"whole":true`, `"host":"b"`, `"host":"c"`) // before the changes kept
 	check("?after=9&wait_ms=0", `{"seq":3,"whole":true`, `"host":"b"`, `"host":"c"`)
-	if c := g.counts(); c.calls != 7 || c.wholes != 4 || c.out == 0 || c.in == 0 {
+	if c := g.counts(); c.calls != 7 || c.fullLists != 4 || c.sent == 0 || c.received == 0 {
 		t.Errorf("counted %+v", c)
 	}
 	nc, err := net.Dial("tcp", addr)
@@ -176,17 +176,17 @@
 // A gate that is cut says nothing and breaks what hung in it once it is back; one that is down refuses, and comes back at its address.
 func TestGates(t *testing.T) {
 	d := newDiscovery([]platform.Entry{{Host: "a", Health: "Ready"}}, func(string, string) {})
-	site, err := newSite(1)
+	site, err := claimAddresses(1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer site.claim.Close()
-	g, err := newGate(d, site.gates+":20000")
+	g, err := newGateway(d, site.gatewayIP+":20000")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer g.down()
-	g.cut(true)
+	defer g.stop()
+	g.setCutOff(true)
 	nc, err := net.Dial("tcp", g.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -197,25 +197,25 @@
 	if n, err := nc.Read(make([]byte, 1)); n > 0 || !strings.Contains(fmt.Sprint(err), "timeout") {
 		t.Errorf("cut off: %d bytes, %v", n, err)
 	}
-	before := g.reachable()
-	g.cut(false)
+	before := g.reachableSince()
+	g.setCutOff(false)
 	nc.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if n, err := nc.Read(make([]byte, 1)); n > 0 || err == nil || strings.Contains(err.Error(), "timeout") {
 		t.Errorf("back after a cut: %d bytes, %v, want the end", n, err)
 	}
-	if !g.reachable().After(before) || !strings.Contains(ask(t, g.addr, "/registry/instances"), `"whole":true`) {
+	if !g.reachableSince().After(before) || !strings.Contains(ask(t, g.addr, "/registry/instances"), `"whole":true`) {
 		t.Error("it cannot be reached after the cut")
 	}
-	g.down()
+	g.stop()
 	if nc, err := net.Dial("tcp", g.addr); err == nil {
 		nc.Close()
 		t.Error("a discovery that is away takes a connection")
 	}
-	if err := g.up(); err != nil {
+	if err := g.start(); err != nil {
 		t.Fatal(err)
 	}
 	testkit.Eventually(t, "whole list", func() bool { return strings.Contains(ask(t, g.addr, "/registry/instances"), `"whole":true`) })
-	if g.counts().wholes < 2 {
+	if g.counts().fullLists < 2 {
 		t.Errorf("counted %+v", g.counts())
 	}
 }
