--- a/lab/scale/machine.go
+++ b/lab/scale/machine.go
@@ -1,5 +1,5 @@
-// This file owns what a run may take of the machine, and reads of processes what the kernel says. Its estimates are for
-// refusing a plan that cannot fit, never for a result.
+// This file owns the limits on what a run may use of the machine, and reads the resource usage of processes from /proc.
+// Its estimates are only for refusing a plan that does not fit; they must never become a result.
 
 package scale
 
@@ -15,29 +15,31 @@
 	"time"
 )
 
-// Machine is what a machine has.
+// Machine holds the resources of a machine.
 type Machine struct {
 	Memory      int64 // bytes
-	Descriptors int   // this process may open
+	Descriptors int   // limit of open descriptors of this process
 	Cores       int
 }
 
-// maxProcesses a run starts at most, itself included.
+// maxProcesses is the limit of processes of a run, this one included.
 const maxProcesses = 200
 
-// Rough needs, on the high side, from first measurements. A plan beyond them is refused before anything starts.
+// Rough resource needs, on the high side, from measurements. A plan that exceeds the machine by them is refused before
+// anything starts.
 const (
-	realBaseBytes             = 40 << 20 // bytes of a process that knows and holds nothing
-	realDestinationBytes      = 2500     // bytes of a process for a destination: the runtime lets garbage grow to some times what is live
-	realMessageBytes          = 6000     // bytes of a process for a message held
-	simulatedDestinationBytes = 1600     // bytes of a hollow sender for a destination
-	discoveryDestinationBytes = 700      // bytes of the stand-in of discovery for a destination
-	baseDescriptors           = 400      // descriptors: listeners, clients' connections, logs, room
-	simulatedDescriptors      = 6        // a gate's listener, both ends of a connection, and one anew of each
-	realDescriptors           = 150      // gate, connections to discovery, clients' and calls' ends here, the log's pipe
+	realBaseBytes             = 40 << 20 // a process without destinations and messages
+	realDestinationBytes      = 2500     // a process, for each destination: garbage may be a multiple of live memory
+	realMessageBytes          = 6000     // a process, for each message held
+	simulatedDestinationBytes = 1600     // a simulated sender, for each destination
+	discoveryDestinationBytes = 700      // the stand-in discovery, for each destination
+
+	baseDescriptors      = 400 // listeners, clients' connections, logs and a reserve
+	simulatedDescriptors = 6   // the gateway's listener and both ends of a connection, each twice while it is renewed
+	realDescriptors      = 150 // gateway, connections to discovery, this side of clients' connections and calls, log
 )
 
-// ThisMachine reads what this machine has.
+// ThisMachine returns the resources of this machine.
 func ThisMachine() (Machine, error) {
 	m := Machine{Cores: runtime.NumCPU()}
 	text, err := os.ReadFile("/proc/meminfo")
@@ -45,8 +47,8 @@
 		return m, err
 	}
 	for line := range strings.Lines(string(text)) {
-		if f := strings.Fields(line); len(f) > 1 && f[0] == "MemTotal:" {
-			kb, err := strconv.ParseInt(f[1], 10, 64)
+		if fields := strings.Fields(line); len(fields) > 1 && fields[0] == "MemTotal:" {
+			kb, err := strconv.ParseInt(fields[1], 10, 64)
 			if err != nil {
 				return m, err
 			}
@@ -64,26 +66,32 @@
 	return m, nil
 }
 
-// memory is the estimate of a step's need in bytes.
+// memoryEstimate estimates how much memory a step needs, in bytes.
 func (s setup) memoryEstimate() int64 {
-	real := int64(s.real) * (realBaseBytes + int64(s.destinations)*realDestinationBytes + int64(s.held+s.unfinished)*realMessageBytes)
-	return real + int64(s.simulated)*int64(s.destinations)*simulatedDestinationBytes + int64(s.destinations)*discoveryDestinationBytes
+	destinations, messages := int64(s.destinations), int64(s.held+s.unfinished)
+	real := int64(s.real) * (realBaseBytes + destinations*realDestinationBytes + messages*realMessageBytes)
+	simulated := int64(s.simulated) * destinations * simulatedDestinationBytes
+	return real + simulated + destinations*discoveryDestinationBytes
 }
 
+// descriptorEstimate estimates how many descriptors a step opens in this process.
 func (s setup) descriptorEstimate() int {
 	return baseDescriptors + s.simulated*simulatedDescriptors + s.real*realDescriptors
 }
 
-// Fits tells why a plan cannot be played on a machine: one line with the key and its value, nil if it can.
+// CheckResources returns an error of one line, with the key and its value, if the given axes of a plan exceed a
+// machine.
 func (p *Plan) CheckResources(m Machine, axes []string) error {
-	try := func(key string, value int, s setup) error {
+	check := func(key string, value int, s setup) error {
 		switch {
 		case s.real+1 > maxProcesses:
 			return fmt.Errorf("%s: %d, which needs %d processes; a run may have %d", key, value, s.real+1, maxProcesses)
 		case s.memoryEstimate() > m.Memory/2:
-			return fmt.Errorf("%s: %d, which needs some %d MB; half of this machine's memory is %d MB", key, value, s.memoryEstimate()>>20, m.Memory/2>>20)
+			return fmt.Errorf("%s: %d, which needs some %d MB; half of this machine's memory is %d MB",
+				key, value, s.memoryEstimate()>>20, m.Memory/2>>20)
 		case s.descriptorEstimate() > m.Descriptors:
-			return fmt.Errorf("%s: %d, which needs %d descriptors; the limit is %d (ulimit -n)", key, value, s.descriptorEstimate(), m.Descriptors)
+			return fmt.Errorf("%s: %d, which needs %d descriptors; the limit is %d (ulimit -n)",
+				key, value, s.descriptorEstimate(), m.Descriptors)
 		}
 		return nil
 	}
@@ -100,13 +108,13 @@
 			if s.real+1 > maxProcesses {
 				key, value = "events.real", s.real
 			}
-			if err := try(key, value, s); err != nil {
+			if err := check(key, value, s); err != nil {
 				return err
 			}
 			continue
 		}
 		for _, v := range p.axisValues(axis) {
-			if err := try("axes."+axis, v, p.pointSetup(axis, v)); err != nil {
+			if err := check("axes."+axis, v, p.pointSetup(axis, v)); err != nil {
 				return err
 			}
 		}
@@ -114,26 +122,33 @@
 	return nil
 }
 
-// usage is what the kernel says of a process.
+// processUsage is the resource usage of a process as the kernel reports it.
 type processUsage struct {
-	resident, peak int64         // bytes
+	resident, peak int64         // resident memory now and at its peak, bytes
 	cpu            time.Duration // user and system
 }
 
-const clockTick = 10 * time.Millisecond // of /proc/PID/stat on Linux
+// clockTick is the unit of processor time in /proc/PID/stat on Linux.
+const clockTick = 10 * time.Millisecond
+
+// Fields of /proc/PID/stat, counted from the one after the command's name.
+const (
+	statUserTime   = 11
+	statSystemTime = 12
+)
 
-// usageOf reads a process.
+// readUsage reads the usage of a process.
 func readUsage(pid int) (u processUsage, err error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return u, err
 	}
-	_, rest, _ := strings.Cut(string(stat), ") ") // the name before may hold anything
-	f := strings.Fields(rest)
-	if len(f) < 13 {
-		return u, fmt.Errorf("/proc/%d/stat is short", pid)
+	_, rest, _ := strings.Cut(string(stat), ") ") // the command's name before may contain spaces
+	statFields := strings.Fields(rest)
+	if len(statFields) <= statSystemTime {
+		return u, fmt.Errorf("/proc/%d/stat has too few fields", pid)
 	}
-	for _, text := range f[11:13] {
+	for _, text := range statFields[statUserTime : statSystemTime+1] {
 		n, err := strconv.ParseInt(text, 10, 64)
 		if err != nil {
 			return u, err
@@ -145,15 +160,15 @@
 		return u, err
 	}
 	for line := range strings.Lines(string(status)) {
-		f := strings.Fields(line)
-		if len(f) < 2 || f[0] != "VmRSS:" && f[0] != "VmHWM:" {
+		fields := strings.Fields(line)
+		if len(fields) < 2 || fields[0] != "VmRSS:" && fields[0] != "VmHWM:" {
 			continue
 		}
-		kb, err := strconv.ParseInt(f[1], 10, 64)
+		kb, err := strconv.ParseInt(fields[1], 10, 64)
 		if err != nil {
 			return u, err
 		}
-		if f[0] == "VmRSS:" {
+		if fields[0] == "VmRSS:" {
 			u.resident = kb << 10
 		} else {
 			u.peak = kb << 10
--- a/lab/scale/plan.go
+++ b/lab/scale/plan.go
@@ -1,6 +1,10 @@
-// Package scale plays the daemon at the size that is planned for, on loopback addresses: real processes beside hollow senders,
-// with a discovery, destinations and clients of its own. It owns what it starts and ends all of it. Its figures come from
-// sockets and /proc; it must never report one that a run did not give.
+// Package scale measures the daemon at the size that it is planned for, on loopback addresses: real sender processes
+// beside simulated senders, with a stand-in discovery, destinations and clients. A plan names axes (the number of
+// destinations, messages held, changes of endpoints, ...) whose points are measured and fitted one by one, and events
+// (a zone goes down, ...) that are played and judged. The package ends everything that it starts. Its figures come from
+// sockets and /proc; it must never report one that was not measured in the run.
+//
+// This file owns the plan: its file, its limits and the setup of each step.
 package scale
 
 import (
@@ -17,76 +21,101 @@
 	"eiderhaven/lab/scenario"
 )
 
-// Plan is a plan file. Keys not given have the value of Default.
+// Plan is the content of a plan file. Missing keys have the values of Default.
 type Plan struct {
 	Name   string            `toml:"name"`
 	Seed   uint64            `toml:"seed"`
-	Settle scenario.Duration `toml:"settle"` // rest before a measurement
+	Settle scenario.Duration `toml:"settle"` // pause before a measurement
 	Window scenario.Duration `toml:"window"` // length of a measurement
-	Within scenario.Duration `toml:"within"` // a list not heard, or a sender not ready, by then makes a failed row
+	Within scenario.Duration `toml:"within"` // time limit for a sender to become ready and get the list
 
 	Senders struct {
 		Real     int `toml:"real"`      // processes
-		Slots    int `toml:"slots"`     // calls out at once, each
-		MemoryMB int `toml:"memory_mb"` // each may use
-		DiskMB   int `toml:"disk_mb"`
+		Slots    int `toml:"slots"`     // calls in flight at once, of each
+		MemoryMB int `toml:"memory_mb"` // limit of each
+		DiskMB   int `toml:"disk_mb"`   // limit of each
 	} `toml:"senders"`
 
-	// Base is what holds where an axis does not vary it.
+	// Base has the values that apply where an axis does not vary them.
 	Base struct {
 		Destinations      int     `toml:"destinations"`
 		Simulated         int     `toml:"hollow"`
 		Changes           int     `toml:"changes"`         // a minute
 		Messages          float64 `toml:"messages"`        // a second, to each real sender
-		SimulatedMessages float64 `toml:"hollow_messages"` // a second, in each hollow sender
+		SimulatedMessages float64 `toml:"hollow_messages"` // a second, in each simulated sender
 		ListedRate        float64 `toml:"listed_rate"`     // calls a second that discovery lists for each destination
 	} `toml:"base"`
 
+	// Axes has the points of each axis; the axes without points are not played.
 	Axes struct {
 		Destinations []int `toml:"destinations"`
-		Held         []int `toml:"held"`
+		Held         []int `toml:"held"` // messages held by the real sender
 		Simulated    []int `toml:"hollow"`
-		Changes      []int `toml:"changes"`
-		Down         []int `toml:"down"`
-		Unfinished   []int `toml:"owed"`
+		Changes      []int `toml:"changes"` // a minute
+		Down         []int `toml:"down"`    // destinations that cannot be reached
+		Unfinished   []int `toml:"owed"`    // unfinished messages that a restarted sender recovers
 	} `toml:"axes"`
 
 	Events struct {
-		Play         []string          `toml:"play"`
+		Play         []string          `toml:"play"` // names of events
 		Real         int               `toml:"real"`
 		Simulated    int               `toml:"hollow"`
 		Destinations int               `toml:"destinations"`
-		DownShare    float64           `toml:"down_share"`
+		DownShare    float64           `toml:"down_share"` // of the destinations, down all the time
 		Changes      int               `toml:"changes"`
-		Deadline     scenario.Duration `toml:"deadline"` // of the messages
-		Before       scenario.Duration `toml:"before"`   // traffic before the event, and after it
-		Away         scenario.Duration `toml:"away"`
-		Cut          scenario.Duration `toml:"cut"`
-		Zone         scenario.Duration `toml:"zone"`
+		Deadline     scenario.Duration `toml:"deadline"` // of a message, from its submission
+		Before       scenario.Duration `toml:"before"`   // length of undisturbed traffic before and after the event
+		Away         scenario.Duration `toml:"away"`     // how long discovery is down
+		Cut          scenario.Duration `toml:"cut"`      // how long senders are cut off from discovery
+		Zone         scenario.Duration `toml:"zone"`     // how long a zone is down
 	} `toml:"events"`
 }
 
-// Names of the axes and events, in the order in which they are played. EventsAxis stands for all events.
+// EventsAxis is the name under which all events are played, as if they were points of an axis.
 const EventsAxis = "events"
 
+// Names of the axes and events, in the order in which they are played.
 var (
 	axisNames  = []string{"destinations", "held", "hollow", "changes", "down", "owed"}
 	eventNames = []string{"restart_half", "discovery_away", "cut_off", "zone_down"}
 )
 
-// Default is a plan without axes and events.
+// Default returns the default plan, without axes and events.
 func Default() *Plan {
-	p := &Plan{Name: "scale", Seed: 1, Settle: scenario.Duration(time.Second), Window: scenario.Duration(3 * time.Second),
-		Within: scenario.Duration(10 * time.Second)}
-	p.Senders.Real, p.Senders.Slots, p.Senders.MemoryMB, p.Senders.DiskMB = 2, 64, 2048, 256
-	p.Base.Destinations, p.Base.Simulated, p.Base.Changes, p.Base.Messages, p.Base.SimulatedMessages, p.Base.ListedRate = 1000, 8, 60, 50, 1, 1
-	p.Events.Real, p.Events.Simulated, p.Events.Destinations, p.Events.DownShare, p.Events.Changes = 4, 30, 1000, 0.015, 60
-	p.Events.Deadline, p.Events.Before = scenario.Duration(5*time.Second), scenario.Duration(3*time.Second)
-	p.Events.Away, p.Events.Cut, p.Events.Zone = scenario.Duration(30*time.Second), scenario.Duration(time.Minute), scenario.Duration(10*time.Second)
+	p := &Plan{
+		Name:   "scale",
+		Seed:   1,
+		Settle: scenario.Duration(time.Second),
+		Window: scenario.Duration(3 * time.Second),
+		Within: scenario.Duration(10 * time.Second),
+	}
+
+	p.Senders.Real = 2
+	p.Senders.Slots = 64
+	p.Senders.MemoryMB = 2048
+	p.Senders.DiskMB = 256
+
+	p.Base.Destinations = 1000
+	p.Base.Simulated = 8
+	p.Base.Changes = 60
+	p.Base.Messages = 50
+	p.Base.SimulatedMessages = 1
+	p.Base.ListedRate = 1
+
+	p.Events.Real = 4
+	p.Events.Simulated = 30
+	p.Events.Destinations = 1000
+	p.Events.DownShare = 0.015
+	p.Events.Changes = 60
+	p.Events.Deadline = scenario.Duration(5 * time.Second)
+	p.Events.Before = scenario.Duration(3 * time.Second)
+	p.Events.Away = scenario.Duration(30 * time.Second)
+	p.Events.Cut = scenario.Duration(time.Minute)
+	p.Events.Zone = scenario.Duration(10 * time.Second)
 	return p
 }
 
-// Load reads a plan file strictly and checks it, but not against a machine.
+// Load reads and validates a plan file. Unknown keys are errors. Whether the plan fits a machine is not checked.
 func Load(path string) (*Plan, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -95,7 +124,7 @@
 	return Parse(path, text)
 }
 
-// Parse reads a plan's text; name is used in errors.
+// Parse reads and validates the text of a plan file; name is used in errors.
 func Parse(name string, text []byte) (*Plan, error) {
 	p := Default()
 	if err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(p); err != nil {
@@ -107,23 +136,26 @@
 	return p, nil
 }
 
-// decodeFault is one line with file, line, key and what is wrong with it; the first where there are several.
+// decodeError returns an error of one line with file, line, key and the fault; the first if there are several.
 func decodeError(name string, err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
-		e := &strict.Errors[0]
-		line, _ := e.Position()
-		return scenario.Problem{File: name, Line: line, Key: strings.Join(e.Key(), "."), Msg: "unknown key"}
+		unknown := &strict.Errors[0]
+		line, _ := unknown.Position()
+		return scenario.Problem{File: name, Line: line, Key: strings.Join(unknown.Key(), "."), Msg: "unknown key"}
 	}
-	var one *toml.DecodeError
-	if errors.As(err, &one) {
-		line, _ := one.Position()
-		return scenario.Problem{File: name, Line: line, Key: strings.Join(one.Key(), "."), Msg: strings.TrimPrefix(one.Error(), "toml: ")}
+	var invalid *toml.DecodeError
+	if errors.As(err, &invalid) {
+		line, _ := invalid.Position()
+		return scenario.Problem{
+			File: name, Line: line, Key: strings.Join(invalid.Key(), "."),
+			Msg: strings.TrimPrefix(invalid.Error(), "toml: "),
+		}
 	}
 	return scenario.Problem{File: name, Msg: strings.ReplaceAll(err.Error(), "\n", " ")}
 }
 
-// points are the values of an axis; nil if the plan does not play it.
+// axisValues returns the points of an axis; nil if the plan does not play it.
 func (p *Plan) axisValues(axis string) []int {
 	switch axis {
 	case "destinations":
@@ -142,17 +174,21 @@
 	return nil
 }
 
-// leastPoints of an axis: three to fit, one of them for a residual, and one held out.
+// minAxisPoints is the least number of points of an axis: three to fit, so that there is a residual, and one held out.
 const minAxisPoints = 4
 
+// validate checks every value against its limits.
 func (p *Plan) validate() error {
-	num := func(key string, v, least, most float64) error {
+	checkNumber := func(key string, v, least, most float64) error {
 		if v >= least && v <= most {
 			return nil
 		}
 		return fmt.Errorf("%s: %.10g, expected %.10g to %.10g", key, v, least, most)
 	}
-	span := func(key string, d scenario.Duration, least, most time.Duration) error {
+	checkInt := func(key string, v, least, most int) error {
+		return checkNumber(key, float64(v), float64(least), float64(most))
+	}
+	checkDuration := func(key string, d scenario.Duration, least, most time.Duration) error {
 		if d.D() >= least && d.D() <= most {
 			return nil
 		}
@@ -161,18 +197,32 @@
 	const million = 1_000_000
 	b, e := &p.Base, &p.Events
 	for _, err := range []error{
-		span("settle", p.Settle, 0, time.Minute), span("window", p.Window, 100*time.Millisecond, time.Minute),
-		span("within", p.Within, time.Second, 5*time.Minute),
-		num("senders.real", float64(p.Senders.Real), 1, million), num("senders.slots", float64(p.Senders.Slots), 1, 300),
-		num("senders.memory_mb", float64(p.Senders.MemoryMB), 64, million), num("senders.disk_mb", float64(p.Senders.DiskMB), 1, float64(p.Senders.MemoryMB)/2),
-		num("base.destinations", float64(b.Destinations), 10, million), num("base.hollow", float64(b.Simulated), 0, million),
-		num("base.changes", float64(b.Changes), 0, 6000), num("base.messages", b.Messages, 0, 5000), num("base.hollow_messages", b.SimulatedMessages, 0, 1000),
-		num("base.listed_rate", b.ListedRate, 0, million),
-		num("events.real", float64(e.Real), 2, million), num("events.hollow", float64(e.Simulated), 0, million), num("events.destinations", float64(e.Destinations), 10, million),
-		num("events.down_share", e.DownShare, 0, 0.5), num("events.changes", float64(e.Changes), 1, 6000),
-		span("events.deadline", e.Deadline, 500*time.Millisecond, 16*time.Second), span("events.before", e.Before, 500*time.Millisecond, time.Minute),
-		span("events.away", e.Away, 500*time.Millisecond, 5*time.Minute), span("events.cut", e.Cut, 500*time.Millisecond, 5*time.Minute),
-		span("events.zone", e.Zone, 500*time.Millisecond, 5*time.Minute),
+		checkDuration("settle", p.Settle, 0, time.Minute),
+		checkDuration("window", p.Window, 100*time.Millisecond, time.Minute),
+		checkDuration("within", p.Within, time.Second, 5*time.Minute),
+
+		checkInt("senders.real", p.Senders.Real, 1, million),
+		checkInt("senders.slots", p.Senders.Slots, 1, 300),
+		checkInt("senders.memory_mb", p.Senders.MemoryMB, 64, million),
+		checkNumber("senders.disk_mb", float64(p.Senders.DiskMB), 1, float64(p.Senders.MemoryMB)/2),
+
+		checkInt("base.destinations", b.Destinations, 10, million),
+		checkInt("base.hollow", b.Simulated, 0, million),
+		checkInt("base.changes", b.Changes, 0, 6000),
+		checkNumber("base.messages", b.Messages, 0, 5000),
+		checkNumber("base.hollow_messages", b.SimulatedMessages, 0, 1000),
+		checkNumber("base.listed_rate", b.ListedRate, 0, million),
+
+		checkInt("events.real", e.Real, 2, million),
+		checkInt("events.hollow", e.Simulated, 0, million),
+		checkInt("events.destinations", e.Destinations, 10, million),
+		checkNumber("events.down_share", e.DownShare, 0, 0.5),
+		checkInt("events.changes", e.Changes, 1, 6000),
+		checkDuration("events.deadline", e.Deadline, 500*time.Millisecond, 16*time.Second),
+		checkDuration("events.before", e.Before, 500*time.Millisecond, time.Minute),
+		checkDuration("events.away", e.Away, 500*time.Millisecond, maxOutage),
+		checkDuration("events.cut", e.Cut, 500*time.Millisecond, maxOutage),
+		checkDuration("events.zone", e.Zone, 500*time.Millisecond, maxOutage),
 	} {
 		if err != nil {
 			return err
@@ -181,14 +231,15 @@
 	return p.validateAxes()
 }
 
+// validateAxes checks the points of the axes and the names of the events.
 func (p *Plan) validateAxes() error {
-	any := len(p.Events.Play) > 0
+	anything := len(p.Events.Play) > 0
 	for _, axis := range axisNames {
 		points := p.axisValues(axis)
 		if points == nil {
 			continue
 		}
-		any = true
+		anything = true
 		if len(points) < minAxisPoints {
 			return fmt.Errorf("axes.%s: %v, expected %d points at least", axis, points, minAxisPoints)
 		}
@@ -201,7 +252,8 @@
 			return fmt.Errorf("axes.destinations: %d, expected 10 at least", points[0])
 		}
 		if last := points[len(points)-1]; axis == "down" && last > p.Base.Destinations/2 {
-			return fmt.Errorf("axes.down: %d, expected half of base.destinations (%d) at most", last, p.Base.Destinations)
+			return fmt.Errorf("axes.down: %d, expected half of base.destinations (%d) at most",
+				last, p.Base.Destinations)
 		}
 	}
 	for _, name := range p.Events.Play {
@@ -209,13 +261,13 @@
 			return fmt.Errorf("events.play: %q, expected one of %s", name, strings.Join(eventNames, ", "))
 		}
 	}
-	if !any {
+	if !anything {
 		return errors.New("axes: no points and no events, nothing to play")
 	}
 	return nil
 }
 
-// played are the axes that the plan plays, with EventsAxis, in order.
+// playedAxes returns the axes that the plan plays, EventsAxis included, in order.
 func (p *Plan) playedAxes() []string {
 	var out []string
 	for _, axis := range axisNames {
@@ -229,16 +281,20 @@
 	return out
 }
 
-// shape is what one step sets up.
+// setup is the size of what one step starts.
 type setup struct {
-	real, simulated, destinations, down int
-	held, unfinished                    int // messages, in each real sender
-	changes                             int // a minute
+	real, simulated    int // senders
+	destinations, down int // all destinations, and those of them that are down all the time
+	held, unfinished   int // messages, in each real sender
+	changes            int // a minute
 }
 
-// at is the shape of a point of an axis.
+// pointSetup returns the setup for a point of an axis.
 func (p *Plan) pointSetup(axis string, value int) setup {
-	s := setup{real: p.Senders.Real, simulated: p.Base.Simulated, destinations: p.Base.Destinations, changes: p.Base.Changes}
+	s := setup{
+		real: p.Senders.Real, simulated: p.Base.Simulated,
+		destinations: p.Base.Destinations, changes: p.Base.Changes,
+	}
 	switch axis {
 	case "destinations":
 		s.destinations = value
@@ -254,18 +310,33 @@
 		s.unfinished = value
 	}
 	if s.held+s.unfinished > 0 {
-		s.down, s.real = 1, 1 // where they are held; one process is enough
+		s.down = 1 // the destination for which the messages are held
+		s.real = 1 // one process is enough
 	}
 	return s
 }
 
-// eventShape is that of the events.
+// eventSetup returns the setup for the events.
 func (p *Plan) eventSetup() setup {
 	e := &p.Events
-	return setup{real: e.Real, simulated: e.Simulated, destinations: e.Destinations, down: int(float64(e.Destinations) * e.DownShare), changes: e.Changes}
+	return setup{
+		real: e.Real, simulated: e.Simulated, destinations: e.Destinations,
+		down: int(float64(e.Destinations) * e.DownShare), changes: e.Changes,
+	}
 }
 
-// room is how many messages a sender may hold: more than any step needs.
+// Limits of the messages that a sender may hold.
+const (
+	baseMessageLimit    = 10_000 // without the reserve
+	messageLimitReserve = 10_000
+	topMessageLimit     = 1_000_000
+)
+
+// maxMessages returns how many messages a sender may hold: more than any step needs.
 func (p *Plan) maxMessages() int {
-	return min(1_000_000, max(slices.Max(append([]int{10_000}, p.Axes.Held...)), slices.Max(append([]int{0}, p.Axes.Unfinished...)))+10_000)
+	needed := baseMessageLimit
+	for _, n := range slices.Concat(p.Axes.Held, p.Axes.Unfinished) {
+		needed = max(needed, n)
+	}
+	return min(topMessageLimit, needed+messageLimitReserve)
 }
--- a/lab/scale/run.go
+++ b/lab/scale/run.go
@@ -1,5 +1,5 @@
-// This file owns the run: which steps are played, in what order, what is kept of each, and when a run gives up. A step that
-// cannot be measured leaves a failed row with the reason, never none.
+// This file owns the run: which steps are played, in what order, which rows are kept of each, and when a step is given
+// up. It must never drop a step that could not be measured: such a step leaves a failed row with the reason.
 
 package scale
 
@@ -17,26 +17,26 @@
 	"eiderhaven/lab/process"
 )
 
-// Row is what one step measured of one of those who took part.
+// Row holds what one step measured of one subject.
 type Row struct {
 	Axis    string
-	Value   int    // of the axis; 0 for events
-	Subject string // r0, r1, ... for real senders, "hollow" for all hollow ones, "discovery"; or an event's name
-	Failure string // why it could not be measured
+	Value   int    // point of the axis; 0 for events
+	Subject string // r0, r1, ... for real senders, "hollow" for all simulated ones, "discovery", or an event's name
+	Failure string // why it could not be measured; "" if it was
 	Verdict string // the judge's, of an event
 	Figures map[string]float64
 }
 
-// Options are what a run is given beside its plan.
+// Options are the parameters of a run beside its plan.
 type Options struct {
-	Program string   // the daemon
-	Axes    []string // to play, of those of the plan; all if empty
+	Program string   // path of the daemon
+	Axes    []string // those of the plan's axes to play; all if empty
 	Log     func(line string)
 
-	onSenderReady func(*realSender) // told of each process that is ready; for tests
+	onSenderReady func(*realSender) // called for each process that has become ready; for tests
 }
 
-// run is a run under way.
+// run is the state of a run.
 type run struct {
 	plan      *Plan
 	program   string
@@ -47,7 +47,8 @@
 	rows      []Row
 }
 
-// Check tells whether a run can be played: one line that names what is wrong. It starts nothing.
+// Check returns an error of one line if a run cannot be played. It starts nothing. It completes the options: empty Axes
+// become all axes of the plan, and Program becomes an absolute path.
 func Check(p *Plan, o *Options, m Machine) error {
 	played := p.playedAxes()
 	for _, axis := range o.Axes {
@@ -76,33 +77,43 @@
 	return nil
 }
 
-// Run plays a plan that Check has passed and returns the rows of what was played, also with an error. It ends all that it
-// started before it returns.
+// gcPercent is the garbage collector's setting during a run: the memory of this process counts towards the limit.
+const gcPercent = 100
+
+// Run plays a plan that Check has passed and returns the rows of what was played, also with an error. Everything that
+// it started has ended when it returns.
 func Run(ctx context.Context, p *Plan, o Options, m Machine) ([]Row, error) {
 	if o.Log == nil {
 		o.Log = func(string) {}
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	defer debug.SetGCPercent(debug.SetGCPercent(100)) // what this process holds counts in the bound on memory
-	site, err := claimAddresses(p.Seed)
+	defer debug.SetGCPercent(debug.SetGCPercent(gcPercent))
+	addresses, err := claimAddresses(p.Seed)
 	if err != nil {
 		return nil, err
 	}
-	defer site.claim.Close()
-	r := &run{plan: p, program: o.Program, addresses: site, starter: process.NewStarter(ctx), machine: m, options: o}
+	defer addresses.claim.Close()
+	r := &run{
+		plan: p, program: o.Program, addresses: addresses,
+		starter: process.NewStarter(ctx), machine: m, options: o,
+	}
 	for _, axis := range p.playedAxes() {
 		if !slices.Contains(o.Axes, axis) {
 			continue
 		}
 		if axis == EventsAxis {
 			for _, name := range p.Events.Play {
-				r.runStep(ctx, EventsAxis, 0, name, p.eventSetup(), func(st *environment) []Row { return r.playEvent(st, name) })
+				r.runStep(ctx, EventsAxis, 0, name, p.eventSetup(), func(env *environment) []Row {
+					return r.playEvent(env, name)
+				})
 			}
 			continue
 		}
 		for _, v := range p.axisValues(axis) {
-			r.runStep(ctx, axis, v, "", p.pointSetup(axis, v), func(st *environment) []Row { return r.playPoint(st, axis, v) })
+			r.runStep(ctx, axis, v, "", p.pointSetup(axis, v), func(env *environment) []Row {
+				return r.playPoint(env, axis, v)
+			})
 		}
 	}
 	if ctx.Err() != nil {
@@ -111,26 +122,27 @@
 	return r.rows, nil
 }
 
-// step sets a stage up, plays on it and keeps the rows.
-func (r *run) runStep(ctx context.Context, axis string, value int, event string, s setup, play func(*environment) []Row) {
+// runStep sets an environment up, plays a point of an axis or an event in it, and keeps the rows.
+func (r *run) runStep(ctx context.Context, axis string, value int, event string, s setup,
+	play func(*environment) []Row) {
 	if ctx.Err() != nil {
 		return
 	}
-	what := fmt.Sprintf("%s %d", axis, value)
+	step := fmt.Sprintf("%s %d", axis, value)
 	if event != "" {
-		what = event
+		step = event
 	}
-	began := time.Now()
+	started := time.Now()
 	rows, err := r.playStep(ctx, s, play)
 	if err != nil && ctx.Err() == nil {
-		r.options.Log(fmt.Sprintf("%s: failed: %v", what, err))
-		who := event
-		if who == "" {
-			who = "step"
+		r.options.Log(fmt.Sprintf("%s: failed: %v", step, err))
+		subject := event
+		if subject == "" {
+			subject = "step"
 		}
-		rows = append(rows, Row{Axis: axis, Value: value, Subject: who, Failure: err.Error()})
+		rows = append(rows, Row{Axis: axis, Value: value, Subject: subject, Failure: err.Error()})
 	}
-	if ctx.Err() != nil { // a step that was broken off measured nothing
+	if ctx.Err() != nil { // a step that was interrupted measured nothing
 		return
 	}
 	r.rows = append(r.rows, rows...)
@@ -140,9 +152,11 @@
 			failed++
 		}
 	}
-	r.options.Log(fmt.Sprintf("%-22s %6.1f s  %d rows, %d failed", what, time.Since(began).Seconds(), len(rows), failed))
+	took := time.Since(started).Seconds()
+	r.options.Log(fmt.Sprintf("%-22s %6.1f s  %d rows, %d failed", step, took, len(rows), failed))
 }
 
+// playStep plays a step in a new environment, if there is enough memory for it.
 func (r *run) playStep(ctx context.Context, s setup, play func(*environment) []Row) ([]Row, error) {
 	debug.FreeOSMemory()
 	own, err := readUsage(os.Getpid())
@@ -150,41 +164,44 @@
 		return nil, err
 	}
 	if need, half := own.resident+s.memoryEstimate(), r.machine.Memory/2; need > half {
-		return nil, fmt.Errorf("given up: %d MB are resident and the step needs some %d MB; half of this machine's memory is %d MB",
+		return nil, fmt.Errorf("given up: %d MB are resident and the step needs some %d MB;"+
+			" half of this machine's memory is %d MB",
 			own.resident>>20, s.memoryEstimate()>>20, half>>20)
 	}
-	st, err := newEnvironment(ctx, r, s)
+	env, err := newEnvironment(ctx, r, s)
 	if err != nil {
 		return nil, err
 	}
-	defer st.close()
-	st.wg.Go(func() { r.watchMemory(st) })
-	return play(st), nil
+	defer env.close()
+	env.wg.Go(func() { r.watchMemory(env) })
+	return play(env), nil
 }
 
-// errMemory ends a step that has grown too large.
+// errMemory ends a step whose processes use too much memory.
 var errMemory = errors.New("given up: half of this machine's memory is resident")
 
-// watch breaks a step off that takes more than half of the memory.
-func (r *run) watchMemory(st *environment) {
-	for st.sleep(300 * time.Millisecond) {
+const memoryCheckInterval = 300 * time.Millisecond
+
+// watchMemory cancels a step whose processes use more than half of the machine's memory.
+func (r *run) watchMemory(env *environment) {
+	for env.sleep(memoryCheckInterval) {
 		var sum int64
-		for _, pid := range st.processIDs() {
-			if u, err := readUsage(pid); err == nil { // it may have ended
+		for _, pid := range env.processIDs() {
+			if u, err := readUsage(pid); err == nil { // the process may have ended
 				sum += u.resident
 			}
 		}
 		if sum > r.machine.Memory/2 {
-			st.cancel(fmt.Errorf("%w: %d MB", errMemory, sum>>20))
+			env.cancel(fmt.Errorf("%w: %d MB", errMemory, sum>>20))
 			return
 		}
 	}
 }
 
-// pids are the processes of a stage, with this one.
-func (st *environment) processIDs() []int {
+// processIDs returns the IDs of the running sender processes and of this process.
+func (env *environment) processIDs() []int {
 	out := []int{os.Getpid()}
-	for _, s := range st.senders {
+	for _, s := range env.senders {
 		s.mu.Lock()
 		if s.cmd != nil && s.exitErr == nil {
 			out = append(out, s.cmd.Process.Pid)
--- a/lab/scale/simulated.go
+++ b/lab/scale/simulated.go
@@ -1,6 +1,7 @@
-// This file owns the hollow senders: each follows discovery by the real client and owns a real module, makes its own messages
-// and answers its own calls. It has no ledger, no clients and no connections to destinations: what it shows is discovery's
-// load, the module's time and memory, and when a list is in force. Its loop is the exchange's, cut down.
+// This file owns the simulated senders. Each follows discovery through the real registry client and runs a real
+// decision module, but creates its own messages and answers its own calls. It has no ledger, no clients and no
+// connections to destinations. It shows the load on discovery, the module's time and memory, and when a list is
+// adopted; it must never be used to judge delivery. Its loop is a reduced version of the exchange's.
 
 package scale
 
@@ -21,333 +22,389 @@
 	"eiderhaven/rules"
 )
 
-// hollow is one of them.
+// simulatedSender is a sender without a process of its own.
 type simulatedSender struct {
 	index       int
 	gateway     *gateway
 	registry    *registry.Registry
 	isAccepting func(addr string) bool
-	onChange    func(change, sender int)
+	onChange    func(change, sender int) // called when the module has a change in its list
 	settings    *rules.Settings
 	rng         *rand.Rand
-	messageRate float64 // messages a second
-	lifetime    time.Duration
+	messageRate float64       // messages a second
+	lifetime    time.Duration // of a message, until its deadline
 	startedAt   time.Time
 
-	inbox  chan func()
+	inbox  chan func() // run by the loop
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
-	// The loop's own.
+	// Used by the loop alone.
 	module            *rules.Sender
 	lastEndpoint      rules.EndpointID
 	endpointIDs       map[string]rules.EndpointID
 	endpoints         map[rules.EndpointID]simulatedEndpoint
-	destinations      []int // known, for the choice of a message's
+	destinations      []int // listed so far; messages go to a random one
 	knownDestinations map[int]bool
-	events            []rules.Event
-	newChanges        []int // changes that the events tell of
-	wakeAt            time.Duration
+	events            []rules.Event // for the next step
+	newChanges        []int         // numbers of the changes in these events
+	wakeAt            time.Duration // when the module asked to be woken; noWakeUp if it did not
 	lastMessage       int
 	held              map[rules.MessageID]*simulatedMessage
-	pendingAnswers    []pendingAnswer // in order of time
+	pendingAnswers    []pendingAnswer // by rising time
 
-	mu             sync.Mutex // for what follows
+	mu             sync.Mutex // guards the fields below
 	stepTimes      *hdrhistogram.Histogram
 	counts         simulatedCounts
 	firstListAfter time.Duration // from the start to the first list
 }
 
+// simulatedEndpoint is an endpoint as the sender's list has it.
 type simulatedEndpoint struct {
 	name, dial  string
 	destination int
-	unavailable bool // drains or has gone
+	unavailable bool // draining or gone
 }
 
+// simulatedMessage is a message that a simulated sender holds.
 type simulatedMessage struct {
-	deadline    time.Duration
+	deadline    time.Duration // on the module's clock
 	destination int
 	attempts    int
 	inFlight    bool
 }
 
+// pendingAnswer is the answer to a call in flight.
 type pendingAnswer struct {
-	at       time.Duration
+	at       time.Duration // on the module's clock
 	id       rules.MessageID
 	endpoint rules.EndpointID
 	attempt  int
 	ok       bool
 }
 
-// hollowCounts are what a hollow sender did, and which rules its module broke by what the sender knew.
+// simulatedCounts counts what a simulated sender did, and the rules that its module broke given what the sender knew.
 type simulatedCounts struct {
 	created, delivered, refused, failed int
 	callsToUnavailable                  int // calls to an endpoint that its list has as draining or gone
-	redundantCalls                      int // calls for a message that is out or over
-	overdue                             int // messages without an end past their time
+	redundantCalls                      int // calls for a message that is in flight or finished
+	overdue                             int // messages that had not ended deadlineGrace after their deadline
 }
 
 const (
-	simulatedTick        = 5 * time.Millisecond
-	simulatedServiceTime = 2 * time.Millisecond // a call takes
+	simulatedTick        = 5 * time.Millisecond // shortest time between two steps of the module
+	simulatedServiceTime = 2 * time.Millisecond // duration of a call
 	simulatedClockStart  = 24 * time.Hour       // of the module's clock
+	simulatedIdle        = time.Second          // longest time that the loop waits
+	simulatedInbox       = 64                   // updates from the registry that may be queued
+	simulatedClasses     = 2                    // messages alternate between the first classes of the settings
+
+	// seedFactor keeps the seeds of senders of plans with different seeds apart.
+	seedFactor = 1_000_003
+
+	// noWakeUp is the value of simulatedSender.wakeAt while the module has not asked to be woken.
+	noWakeUp = -1
+)
+
+// Range of the histograms of step times, in nanoseconds.
+const (
+	minStepTime = 1
+	maxStepTime = int64(10 * time.Second)
 )
 
+func newStepTimes() *hdrhistogram.Histogram { return hdrhistogram.New(minStepTime, maxStepTime, 3) }
+
 var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// startHollow starts one.
-func startSimulated(n int, g *gateway, set *rules.Settings, names *settings.Names, seed uint64, makes float64, lasts time.Duration,
-	isOpen func(string) bool, heard func(change, sender int)) *simulatedSender {
-	own := *set
-	own.Seed = seed*1_000_003 + uint64(n)
-	h := &simulatedSender{index: n, gateway: g, registry: registry.New(registry.NewAddress(g.addr), names, discardLog), isAccepting: isOpen, onChange: heard, settings: &own,
-		rng: rand.New(rand.NewPCG(own.Seed, 7)), messageRate: makes, lifetime: lasts, startedAt: time.Now(), inbox: make(chan func(), 64), module: rules.New(own),
-		endpointIDs: map[string]rules.EndpointID{}, endpoints: map[rules.EndpointID]simulatedEndpoint{}, knownDestinations: map[int]bool{}, wakeAt: -1,
-		held: map[rules.MessageID]*simulatedMessage{}, stepTimes: hdrhistogram.New(1, int64(10*time.Second), 3)}
+// startSimulated starts a simulated sender. Its settings are the shared ones with a seed made from seed and index.
+func startSimulated(index int, g *gateway, shared *rules.Settings, names *settings.Names, seed uint64,
+	messageRate float64, lifetime time.Duration,
+	isAccepting func(addr string) bool, onChange func(change, sender int)) *simulatedSender {
+	own := *shared
+	own.Seed = seed*seedFactor + uint64(index)
+	s := &simulatedSender{
+		index:             index,
+		gateway:           g,
+		registry:          registry.New(registry.NewAddress(g.addr), names, discardLog),
+		isAccepting:       isAccepting,
+		onChange:          onChange,
+		settings:          &own,
+		rng:               rand.New(rand.NewPCG(own.Seed, 7)),
+		messageRate:       messageRate,
+		lifetime:          lifetime,
+		startedAt:         time.Now(),
+		inbox:             make(chan func(), simulatedInbox),
+		module:            rules.New(own),
+		endpointIDs:       map[string]rules.EndpointID{},
+		endpoints:         map[rules.EndpointID]simulatedEndpoint{},
+		knownDestinations: map[int]bool{},
+		wakeAt:            noWakeUp,
+		held:              map[rules.MessageID]*simulatedMessage{},
+		stepTimes:         newStepTimes(),
+	}
 	ctx, cancel := context.WithCancel(context.Background())
-	h.cancel = cancel
-	h.wg.Go(func() { h.registry.Run(ctx, registrySink{h, ctx}) })
-	h.wg.Go(func() { h.run(ctx) })
-	return h
+	s.cancel = cancel
+	s.wg.Go(func() { s.registry.Run(ctx, registrySink{s, ctx}) })
+	s.wg.Go(func() { s.run(ctx) })
+	return s
 }
 
-// stop ends it and waits; what it held dies with it.
-func (h *simulatedSender) stop() {
-	h.cancel()
-	h.wg.Wait()
+// stop ends the sender and waits for its end. The messages that it holds are lost.
+func (s *simulatedSender) stop() {
+	s.cancel()
+	s.wg.Wait()
 }
 
-// hollowSink hands what the registry tells to the loop.
+// registrySink passes updates from the registry to the loop. It implements registry.Sink.
 type registrySink struct {
 	*simulatedSender
 	ctx context.Context
 }
 
-func (s registrySink) post(f func()) {
+func (sink registrySink) post(f func()) {
 	select {
-	case s.inbox <- f:
-	case <-s.ctx.Done():
+	case sink.inbox <- f:
+	case <-sink.ctx.Done():
 	}
 }
 
-func (s registrySink) ApplyListing(l exchange.Listing) { s.post(func() { s.applyListing(l) }) }
-func (s registrySink) ListFailed() {
-	s.post(func() { s.events = append(s.events, rules.DiscoveryFailed{}) })
+func (sink registrySink) ApplyListing(l exchange.Listing) { sink.post(func() { sink.applyListing(l) }) }
+
+func (sink registrySink) ListFailed() {
+	sink.post(func() { sink.events = append(sink.events, rules.DiscoveryFailed{}) })
 }
-func (s registrySink) NoticesAccepted([]string) {}
 
-func (h *simulatedSender) now() time.Duration { return simulatedClockStart + time.Since(h.startedAt) }
+func (sink registrySink) NoticesAccepted([]string) {}
 
-// listed gives the list the module's numbers, as the exchange's directory does.
-func (h *simulatedSender) applyListing(l exchange.Listing) {
-	h.mu.Lock()
-	if h.firstListAfter == 0 {
-		h.firstListAfter = time.Since(h.startedAt)
+// now returns the time on the module's clock.
+func (s *simulatedSender) now() time.Duration { return simulatedClockStart + time.Since(s.startedAt) }
+
+// applyListing turns an update of the list into an event with endpoint IDs, as the exchange's directory does.
+func (s *simulatedSender) applyListing(l exchange.Listing) {
+	s.mu.Lock()
+	if s.firstListAfter == 0 {
+		s.firstListAfter = time.Since(s.startedAt)
 	}
-	h.mu.Unlock()
-	out := rules.ListUpdate{Whole: l.Whole, Entries: make([]rules.Entry, 0, len(l.Hosts))}
-	named := map[rules.EndpointID]bool{}
+	s.mu.Unlock()
+	event := rules.ListUpdate{Whole: l.Whole, Entries: make([]rules.Entry, 0, len(l.Hosts))}
+	listed := map[rules.EndpointID]bool{}
 	for _, e := range l.Hosts {
-		id := h.endpointIDs[e.Name]
+		id := s.endpointIDs[e.Name]
 		if e.Gone && id == 0 {
 			continue
 		}
 		if id == 0 {
-			h.lastEndpoint++
-			id = h.lastEndpoint
-			h.endpointIDs[e.Name] = id
-			if n, ok := changeNumber(e.Name); ok {
-				h.newChanges = append(h.newChanges, n)
+			s.lastEndpoint++
+			id = s.lastEndpoint
+			s.endpointIDs[e.Name] = id
+			if change, ok := changeNumber(e.Name); ok {
+				s.newChanges = append(s.newChanges, change)
 			}
 		}
 		host := simulatedEndpoint{name: e.Name, dial: e.Addr, destination: e.Dest, unavailable: e.Draining || e.Gone}
 		if e.Gone {
-			old := h.endpoints[id]
+			old := s.endpoints[id]
 			host.dial, host.destination = old.dial, old.destination
 		}
-		h.endpoints[id] = host
+		s.endpoints[id] = host
 		if l.Whole {
-			named[id] = true
+			listed[id] = true
 		}
-		if !h.knownDestinations[host.destination] {
-			h.knownDestinations[host.destination] = true
-			h.destinations = append(h.destinations, host.destination)
+		if !s.knownDestinations[host.destination] {
+			s.knownDestinations[host.destination] = true
+			s.destinations = append(s.destinations, host.destination)
 		}
-		out.Entries = append(out.Entries, rules.Entry{Endpoint: id, Destination: host.destination, Kind: e.Kind, Zone: e.Zone, ListedRate: e.Rate, Draining: e.Draining, Gone: e.Gone})
+		event.Entries = append(event.Entries, rules.Entry{
+			Endpoint: id, Destination: host.destination, Kind: e.Kind, Zone: e.Zone,
+			ListedRate: e.Rate, Draining: e.Draining, Gone: e.Gone,
+		})
 	}
 	if l.Whole {
-		for id, host := range h.endpoints {
-			if !named[id] {
+		for id, host := range s.endpoints {
+			if !listed[id] {
 				host.unavailable = true
-				h.endpoints[id] = host
+				s.endpoints[id] = host
 			}
 		}
 	}
-	h.events = append(h.events, out)
+	s.events = append(s.events, event)
 }
 
-// run steps the module until the context ends: at most once a tick, when something has come or it asked to be woken.
-func (h *simulatedSender) run(ctx context.Context) {
+// run is the loop: until the context ends it steps the module, at most once a tick, when there are events or the module
+// asked to be woken.
+func (s *simulatedSender) run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	next := time.Duration(0) // message
+	nextMessage := time.Duration(0) // 0 until the first destination is listed
 	lastStep := time.Duration(0)
 	for {
 		select {
-		case f := <-h.inbox:
+		case f := <-s.inbox:
 			f()
 		case <-timer.C:
 		case <-ctx.Done():
 			return
 		}
-		for range len(h.inbox) {
-			(<-h.inbox)()
+		for range len(s.inbox) {
+			(<-s.inbox)()
 		}
-		now := h.now()
-		if h.messageRate > 0 && len(h.destinations) > 0 && now >= next {
-			if next > 0 {
-				h.createMessage(now)
+		now := s.now()
+		if s.messageRate > 0 && len(s.destinations) > 0 && now >= nextMessage {
+			if nextMessage > 0 {
+				s.createMessage(now)
 			}
-			next = now + time.Duration(h.rng.ExpFloat64()/h.messageRate*float64(time.Second))
+			nextMessage = now + time.Duration(s.rng.ExpFloat64()/s.messageRate*float64(time.Second))
 		}
-		h.finishCalls(now)
-		if h.wakeAt >= 0 && now >= h.wakeAt {
-			h.wakeAt = -1
-			h.events = append(h.events, rules.WakeUp{})
+		s.finishCalls(now)
+		if s.wakeAt >= 0 && now >= s.wakeAt {
+			s.wakeAt = noWakeUp
+			s.events = append(s.events, rules.WakeUp{})
 		}
-		if len(h.events) > 0 && now >= lastStep+simulatedTick {
-			h.step(now)
+		if len(s.events) > 0 && now >= lastStep+simulatedTick {
+			s.step(now)
 			lastStep = now
 		}
-		due := now + time.Second
-		if len(h.events) > 0 {
+		due := now + simulatedIdle
+		if len(s.events) > 0 {
 			due = min(due, lastStep+simulatedTick)
 		}
-		if h.wakeAt >= 0 {
-			due = min(due, max(h.wakeAt, lastStep+simulatedTick))
+		if s.wakeAt >= 0 {
+			due = min(due, max(s.wakeAt, lastStep+simulatedTick))
 		}
-		if h.messageRate > 0 && len(h.destinations) > 0 {
-			due = min(due, next)
+		if s.messageRate > 0 && len(s.destinations) > 0 {
+			due = min(due, nextMessage)
 		}
-		if len(h.pendingAnswers) > 0 {
-			due = min(due, h.pendingAnswers[0].at)
+		if len(s.pendingAnswers) > 0 {
+			due = min(due, s.pendingAnswers[0].at)
 		}
-		timer.Reset(max(0, due-h.now()))
+		timer.Reset(max(0, due-s.now()))
 	}
 }
 
-// make takes a message on.
-func (h *simulatedSender) createMessage(now time.Duration) {
-	h.lastMessage++
-	id := rules.MessageID(fmt.Sprintf("h%d-%d", h.index, h.lastMessage))
-	m := &simulatedMessage{deadline: now + h.lifetime, destination: h.destinations[h.rng.IntN(len(h.destinations))]}
-	h.held[id] = m
-	h.mu.Lock()
-	h.counts.created++
-	h.mu.Unlock()
-	h.events = append(h.events, rules.Arrived{ID: id, Destination: m.destination, Class: h.lastMessage % 2, Tenant: 0, TimeLeft: h.lifetime})
+// createMessage submits a new message to the module.
+func (s *simulatedSender) createMessage(now time.Duration) {
+	s.lastMessage++
+	id := rules.MessageID(fmt.Sprintf("h%d-%d", s.index, s.lastMessage))
+	m := &simulatedMessage{deadline: now + s.lifetime, destination: s.destinations[s.rng.IntN(len(s.destinations))]}
+	s.held[id] = m
+	s.mu.Lock()
+	s.counts.created++
+	s.mu.Unlock()
+	s.events = append(s.events, rules.Arrived{
+		ID: id, Destination: m.destination, Class: s.lastMessage % simulatedClasses, Tenant: 0, TimeLeft: s.lifetime,
+	})
 }
 
-// answer ends the calls whose time has come. What is delivered is over.
-func (h *simulatedSender) finishCalls(now time.Duration) {
-	for len(h.pendingAnswers) > 0 && h.pendingAnswers[0].at <= now {
-		a := h.pendingAnswers[0]
-		h.pendingAnswers = h.pendingAnswers[1:]
-		m := h.held[a.id]
-		e := rules.AttemptEnded{ID: a.id, Attempt: a.attempt, Endpoint: a.endpoint, Outcome: rules.ConnectError, Elapsed: simulatedServiceTime, Finished: m == nil}
+// finishCalls ends the calls whose answers are due. A delivered message is finished.
+func (s *simulatedSender) finishCalls(now time.Duration) {
+	for len(s.pendingAnswers) > 0 && s.pendingAnswers[0].at <= now {
+		a := s.pendingAnswers[0]
+		s.pendingAnswers = s.pendingAnswers[1:]
+		m := s.held[a.id]
+		e := rules.AttemptEnded{
+			ID: a.id, Attempt: a.attempt, Endpoint: a.endpoint,
+			Outcome: rules.ConnectError, Elapsed: simulatedServiceTime, Finished: m == nil,
+		}
 		if a.ok {
 			e.Outcome, e.Finished = rules.OK, true
 		}
 		if m != nil {
 			m.inFlight = false
 			if a.ok {
-				delete(h.held, a.id)
-				h.mu.Lock()
-				h.counts.delivered++
-				h.mu.Unlock()
+				delete(s.held, a.id)
+				s.mu.Lock()
+				s.counts.delivered++
+				s.mu.Unlock()
 			}
 		}
-		h.events = append(h.events, e)
+		s.events = append(s.events, e)
 	}
 }
 
-// step tells the module what has come and does what it wants.
-func (h *simulatedSender) step(now time.Duration) {
-	events, fresh := h.events, h.newChanges
-	h.events, h.newChanges = nil, nil
+// step passes the collected events to the module and carries out its actions.
+func (s *simulatedSender) step(now time.Duration) {
+	events, newChanges := s.events, s.newChanges
+	s.events, s.newChanges = nil, nil
 	for i, e := range events {
-		if a, arrived := e.(rules.Arrived); arrived && h.held[a.ID] != nil {
-			a.TimeLeft = h.held[a.ID].deadline - now
-			events[i] = a
+		if arrived, ok := e.(rules.Arrived); ok && s.held[arrived.ID] != nil {
+			arrived.TimeLeft = s.held[arrived.ID].deadline - now
+			events[i] = arrived
 		}
 	}
-	begun := time.Now()
-	actions := h.module.Step(now, events)
-	took := time.Since(begun)
-	for _, n := range fresh {
-		h.onChange(n, h.index)
+	started := time.Now()
+	actions := s.module.Step(now, events)
+	took := time.Since(started)
+	for _, change := range newChanges {
+		s.onChange(change, s.index)
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	_ = h.stepTimes.RecordValue(min(max(int64(took), 1), int64(10*time.Second))) // within the histogram's range
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	_ = s.stepTimes.RecordValue(min(max(int64(took), minStepTime), maxStepTime)) // within the histogram's range
 	for _, a := range actions {
 		switch a := a.(type) {
 		case rules.Send:
-			h.send(now, a)
+			s.send(now, a)
 		case rules.Refuse:
-			h.finishMessage(a.ID, &h.counts.refused)
+			s.finishMessage(a.ID, &s.counts.refused)
 		case rules.Fail:
-			h.finishMessage(a.ID, &h.counts.failed)
+			s.finishMessage(a.ID, &s.counts.failed)
 		case rules.EndpointForgotten:
-			delete(h.endpointIDs, h.endpoints[a.Endpoint].name)
-			delete(h.endpoints, a.Endpoint)
+			delete(s.endpointIDs, s.endpoints[a.Endpoint].name)
+			delete(s.endpoints, a.Endpoint)
 		case rules.WakeAfter:
-			h.wakeAt = now + a.After
+			s.wakeAt = now + a.After
 		case rules.Watch:
-			h.registry.RetryNow()
+			s.registry.RetryNow()
 		}
 	}
-	for id, m := range h.held {
+	for id, m := range s.held {
 		if now > m.deadline+deadlineGrace {
-			h.counts.overdue++
-			delete(h.held, id)
+			s.counts.overdue++
+			delete(s.held, id)
 		}
 	}
 }
 
-func (h *simulatedSender) send(now time.Duration, a rules.Send) {
-	m, host := h.held[a.ID], h.endpoints[a.Endpoint]
+// send starts a call, and counts a violation if the module should not have asked for it. s.mu is held.
+func (s *simulatedSender) send(now time.Duration, a rules.Send) {
+	m, host := s.held[a.ID], s.endpoints[a.Endpoint]
 	if m == nil || m.inFlight {
-		h.counts.redundantCalls++
+		s.counts.redundantCalls++
 	}
 	if host.unavailable {
-		h.counts.callsToUnavailable++
+		s.counts.callsToUnavailable++
 	}
 	if m == nil {
 		return
 	}
 	m.inFlight = true
-	h.pendingAnswers = append(h.pendingAnswers, pendingAnswer{at: now + simulatedServiceTime, id: a.ID, endpoint: a.Endpoint, attempt: m.attempts, ok: h.isAccepting(host.dial)})
+	s.pendingAnswers = append(s.pendingAnswers, pendingAnswer{
+		at: now + simulatedServiceTime, id: a.ID, endpoint: a.Endpoint, attempt: m.attempts,
+		ok: s.isAccepting(host.dial),
+	})
 	m.attempts++
 }
 
-func (h *simulatedSender) finishMessage(id rules.MessageID, n *int) {
-	if h.held[id] != nil {
-		delete(h.held, id)
-		*n++
+// finishMessage removes a message that ended undelivered and counts it. s.mu is held.
+func (s *simulatedSender) finishMessage(id rules.MessageID, counter *int) {
+	if s.held[id] != nil {
+		delete(s.held, id)
+		*counter++
 	}
 }
 
-// reset begins to count steps anew, and snapshot returns what was counted since.
-func (h *simulatedSender) resetStepTimes() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.stepTimes.Reset()
+// resetStepTimes discards the recorded step times.
+func (s *simulatedSender) resetStepTimes() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.stepTimes.Reset()
 }
 
-func (h *simulatedSender) snapshot(into *hdrhistogram.Histogram) (c simulatedCounts, firstList time.Duration) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	into.Merge(h.stepTimes)
-	return h.counts, h.firstListAfter
+// snapshot adds the step times recorded since the last reset to a histogram, and returns the counts and the time from
+// the start to the first list, 0 if there was none yet.
+func (s *simulatedSender) snapshot(into *hdrhistogram.Histogram) (c simulatedCounts, firstList time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	into.Merge(s.stepTimes)
+	return s.counts, s.firstListAfter
 }
