--- a/lab/scale/destinations.go
+++ b/lab/scale/destinations.go
@@ -1,5 +1,6 @@
-// This file owns the hollow destinations: a few listeners that stand for many. A message's name tells which sender and which
-// change it belongs to. They take everything at once; none of them has a limit, so nothing here tells of paces.
+// This file owns the simulated destinations: a few listeners that many destinations share. A message's ID shows which
+// sender and which change it belongs to. They accept every call at once and have no limits, so they must never be used
+// to judge rate control.
 
 package scale
 
@@ -14,17 +15,21 @@
 
 const zoneCount = 7
 
+// Of two listeners per zone, the first entries of the list use one; the endpoint that replaces another uses the other
+// one.
+const listenersPerZone = 2
+
 func zoneName(z int) string { return fmt.Sprint("z", z) }
 
-// destinations are the listeners: two for each zone, as an endpoint that takes another's place stands elsewhere.
+// destinations are the listeners of all zones. A destination belongs to the zone with its number modulo zoneCount.
 type destinations struct {
 	onCall          func(id string, side int)
-	listeners       [zoneCount][2]*zoneListener
-	unreachableAddr string  // where nothing listens
-	listedRate      float64 // listed for each
+	listeners       [zoneCount][listenersPerZone]*zoneListener
+	unreachableAddr string  // nothing listens there
+	listedRate      float64 // calls a second that discovery lists for each destination
 }
 
-// port is one listener.
+// zoneListener is one of a zone's listeners. Its side is its index among them.
 type zoneListener struct {
 	addr      string
 	mu        sync.Mutex
@@ -32,11 +37,14 @@
 	accepting atomic.Bool
 }
 
-func newDestinations(ip, refusing string, rate float64, arrived func(id string, side int)) (*destinations, error) {
-	d := &destinations{onCall: arrived, unreachableAddr: refusing + ":9", listedRate: rate}
+// newDestinations starts the listeners of all zones on one address. onCall is called with the message ID of each call
+// and the side of the listener that received it. Nothing may listen on unusedIP.
+func newDestinations(ip, unusedIP string, listedRate float64, onCall func(id string, side int)) (*destinations, error) {
+	d := &destinations{onCall: onCall, unreachableAddr: unusedIP + ":9", listedRate: listedRate}
 	for z := range zoneCount {
-		for side := range 2 {
-			d.listeners[z][side] = &zoneListener{addr: fmt.Sprintf("%s:%d", ip, 20000+2*z+side)}
+		for side := range listenersPerZone {
+			addr := fmt.Sprintf("%s:%d", ip, firstPort+listenersPerZone*z+side)
+			d.listeners[z][side] = &zoneListener{addr: addr}
 		}
 		if err := d.startZone(z); err != nil {
 			d.close()
@@ -46,10 +54,10 @@
 	return d, nil
 }
 
-// up lets a zone's destinations be reached.
+// startZone makes a zone's destinations reachable.
 func (d *destinations) startZone(z int) error {
-	for side, p := range d.listeners[z] {
-		srv, err := platform.Listen(p.addr, func(req *http1.Request, _ []byte) *http1.Response {
+	for side, l := range d.listeners[z] {
+		srv, err := platform.Listen(l.addr, func(req *http1.Request, _ []byte) *http1.Response {
 			if req.Method != "POST" || req.Target != "/receive" {
 				return &http1.Response{Status: 404}
 			}
@@ -59,34 +67,34 @@
 		if err != nil {
 			return err
 		}
-		p.mu.Lock()
-		p.srv = srv
-		p.mu.Unlock()
-		p.accepting.Store(true)
+		l.mu.Lock()
+		l.srv = srv
+		l.mu.Unlock()
+		l.accepting.Store(true)
 	}
 	return nil
 }
 
-// down makes a zone's destinations reset their connections and refuse new ones.
+// stopZone makes a zone's destinations reset their connections and refuse new ones.
 func (d *destinations) stopZone(z int) {
-	for _, p := range d.listeners[z] {
-		p.accepting.Store(false)
-		p.mu.Lock()
-		srv := p.srv
-		p.srv = nil
-		p.mu.Unlock()
+	for _, l := range d.listeners[z] {
+		l.accepting.Store(false)
+		l.mu.Lock()
+		srv := l.srv
+		l.srv = nil
+		l.mu.Unlock()
 		if srv != nil {
 			srv.Close()
 		}
 	}
 }
 
-// isOpen tells whether an address takes connections, for those that make none.
+// isAccepting reports whether an address accepts connections, for simulated senders, which open none.
 func (d *destinations) isAccepting(addr string) bool {
 	for z := range zoneCount {
-		for _, p := range d.listeners[z] {
-			if p.addr == addr {
-				return p.accepting.Load()
+		for _, l := range d.listeners[z] {
+			if l.addr == addr {
+				return l.accepting.Load()
 			}
 		}
 	}
@@ -95,16 +103,20 @@
 
 func (d *destinations) close() {
 	for z := range zoneCount {
-		if d.listeners[z][1] != nil {
+		if d.listeners[z][listenersPerZone-1] != nil {
 			d.stopZone(z)
 		}
 	}
 }
 
-// entry is a destination's endpoint as it is listed at first, or as a change has made it.
+// entry returns the list entry of a destination's endpoint at one of its zone's listeners, or at an unreachable address
+// if the destination is down.
 func (d *destinations) entry(dest, side int, host string, down bool) platform.Entry {
 	z := dest % zoneCount
-	e := platform.Entry{Host: host, Dial: d.listeners[z][side].addr, Site: zoneName(z), Class: "any", Block: dest, Health: "Ready", Share: d.listedRate}
+	e := platform.Entry{
+		Host: host, Dial: d.listeners[z][side].addr, Site: zoneName(z), Class: "any", Block: dest,
+		Health: "Ready", Share: d.listedRate,
+	}
 	if down {
 		e.Dial = d.unreachableAddr
 	}
--- a/lab/scale/discovery.go
+++ b/lab/scale/discovery.go
@@ -1,5 +1,6 @@
-// This file owns the stand-in of discovery at size: one list with its changes, and a gate for each sender, by which it counts,
-// goes away and cuts off. It answers a watch with what changed since, as the protocol has it, and must never judge a sender.
+// This file owns the stand-in discovery for many senders: one list with its changes, and a gateway for each sender,
+// which counts the sender's traffic and can go down or be cut off. It answers a watch with the changes since a version,
+// as the protocol defines it. It must never judge a sender.
 
 package scale
 
@@ -20,44 +21,51 @@
 	"eiderhaven/standin/platform"
 )
 
-// keptChanges are told one by one; whoever names an older version gets the whole list.
+// maxUpdates is how many updates of single entries are kept. A watch from a version before them gets the full list.
 const maxUpdates = 100_000
 
-// discovery is the list.
+// Buffer sizes of a connection, in bytes.
+const (
+	requestBuffer = 1 << 10
+	maxCopiedBody = 1 << 16 // a response with a smaller body is assembled in memory and written at once
+)
+
+// discovery holds the list and its updates.
 type discovery struct {
 	onNotice func(id, result string)
 
 	mu          sync.Mutex
 	seq         int64
-	entries     []string // the list's entries as they are told; "" for one that has gone
-	index       map[string]int
-	updates     []update // oldest first
-	changed     chan struct{}
-	fullList    []byte // of the version wholeAt
+	entries     []string       // encoded; "" for one that has gone
+	index       map[string]int // in entries, by host
+	updates     []update       // oldest first
+	changed     chan struct{}  // closed at the next version
+	fullList    []byte         // encoded, of version fullListSeq
 	fullListSeq int64
 
 	openWatches, maxWatches atomic.Int64
 }
 
+// update is an encoded entry with the version in which it came.
 type update struct {
 	seq   int64
 	entry string
 }
 
-func newDiscovery(entries []platform.Entry, noticed func(id, result string)) *discovery {
-	d := &discovery{onNotice: noticed, index: map[string]int{}, changed: make(chan struct{})}
+func newDiscovery(entries []platform.Entry, onNotice func(id, result string)) *discovery {
+	d := &discovery{onNotice: onNotice, index: map[string]int{}, changed: make(chan struct{})}
 	d.publish(entries...)
 	d.updates = nil
 	return d
 }
 
-// publish tells of entries: new ones, changed ones, ones that have gone. All are of one version.
+// publish adds, changes and removes entries as one new version.
 func (d *discovery) publish(entries ...platform.Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.seq++
 	for _, e := range entries {
-		text, _ := json.Marshal(e) // plain values always encode
+		encoded, _ := json.Marshal(e) // plain values always encode
 		at, listed := d.index[e.Host]
 		switch {
 		case e.Health == "Gone" && listed:
@@ -65,24 +73,25 @@
 			delete(d.index, e.Host)
 		case e.Health == "Gone":
 		case listed:
-			d.entries[at] = string(text)
+			d.entries[at] = string(encoded)
 		default:
 			d.index[e.Host] = len(d.entries)
-			d.entries = append(d.entries, string(text))
+			d.entries = append(d.entries, string(encoded))
 		}
-		d.updates = append(d.updates, update{d.seq, string(text)})
+		d.updates = append(d.updates, update{d.seq, string(encoded)})
 	}
-	if n := len(d.updates) - maxUpdates; n > 0 {
-		for n < len(d.updates) && d.updates[n].seq == d.updates[n-1].seq { // a version is kept whole or not at all
-			n++
+	if excess := len(d.updates) - maxUpdates; excess > 0 {
+		// A version is kept whole or not at all.
+		for excess < len(d.updates) && d.updates[excess].seq == d.updates[excess-1].seq {
+			excess++
 		}
-		d.updates = append([]update(nil), d.updates[n:]...)
+		d.updates = append([]update(nil), d.updates[excess:]...)
 	}
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// list is the whole list, made once for each version that somebody asks for.
+// fullListBody returns the encoded full list. It is encoded once for each version that is requested.
 func (d *discovery) fullListBody() []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -90,15 +99,15 @@
 		var b bytes.Buffer
 		fmt.Fprintf(&b, `{"seq":%d,"whole":true,"hosts":[`, d.seq)
 		first := true
-		for _, text := range d.entries {
-			if text == "" {
+		for _, entry := range d.entries {
+			if entry == "" {
 				continue
 			}
 			if !first {
 				b.WriteByte(',')
 			}
 			first = false
-			b.WriteString(text)
+			b.WriteString(entry)
 		}
 		b.WriteString("]}")
 		d.fullList, d.fullListSeq = b.Bytes(), d.seq
@@ -106,8 +115,9 @@
 	return d.fullList
 }
 
-// since is what is new after a version; false if only the whole list tells it.
-func (d *discovery) updatesSince(after int64) (body []byte, any, told bool) {
+// updatesSince returns the encoded updates after a version and whether there are any. known is false if the updates
+// since that version are not kept, so that only the full list has them.
+func (d *discovery) updatesSince(after int64) (body []byte, hasUpdates, known bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if after > d.seq || after < d.seq && (len(d.updates) == 0 || d.updates[0].seq > after+1) {
@@ -119,56 +129,72 @@
 	for from > 0 && d.updates[from-1].seq > after {
 		from--
 	}
-	for i, n := range d.updates[from:] {
+	for i, u := range d.updates[from:] {
 		if i > 0 {
 			b.WriteByte(',')
 		}
-		b.WriteString(n.entry)
+		b.WriteString(u.entry)
 	}
 	b.WriteString("]}")
 	return b.Bytes(), from < len(d.updates), true
 }
 
+// nextChange returns a channel that is closed at the next version.
 func (d *discovery) nextChange() <-chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.changed
 }
 
-// gateCounts is what passed a gate.
+// gatewayCounts is the traffic that has passed a gateway.
 type gatewayCounts struct {
-	calls, fullLists, notices int64 // requests; of them answered with the whole list; posts of notices
-	received, sent            int64 // bytes from the sender, and to it
+	calls     int64 // requests for the list
+	fullLists int64 // of these, the ones answered with the full list
+	notices   int64 // requests that deliver notices
+	received  int64 // bytes from the sender
+	sent      int64 // bytes to the sender
 }
 
-// gate is the way of one sender to discovery, at an address of its own.
+// gateway is the address at which one sender reaches discovery.
 type gateway struct {
-	d    *discovery
-	addr string
+	discovery *discovery
+	addr      string
 
 	calls, fullLists, notices, received, sent atomic.Int64
 
 	mu      sync.Mutex
 	srv     *platform.Server
-	stopped chan struct{} // closed when the gate goes down
+	stopped chan struct{} // closed when the gateway goes down
 	cutOff  bool
-	upSince time.Time // reachable since
+	upSince time.Time // when it last started or stopped being cut off
 }
 
 func newGateway(d *discovery, addr string) (*gateway, error) {
-	g := &gateway{d: d, addr: addr}
+	g := &gateway{discovery: d, addr: addr}
 	return g, g.start()
 }
 
 func (g *gateway) counts() gatewayCounts {
-	return gatewayCounts{g.calls.Load(), g.fullLists.Load(), g.notices.Load(), g.received.Load(), g.sent.Load()}
+	return gatewayCounts{
+		calls:     g.calls.Load(),
+		fullLists: g.fullLists.Load(),
+		notices:   g.notices.Load(),
+		received:  g.received.Load(),
+		sent:      g.sent.Load(),
+	}
 }
 
 func (c gatewayCounts) minus(o gatewayCounts) gatewayCounts {
-	return gatewayCounts{c.calls - o.calls, c.fullLists - o.fullLists, c.notices - o.notices, c.received - o.received, c.sent - o.sent}
+	return gatewayCounts{
+		calls:     c.calls - o.calls,
+		fullLists: c.fullLists - o.fullLists,
+		notices:   c.notices - o.notices,
+		received:  c.received - o.received,
+		sent:      c.sent - o.sent,
+	}
 }
 
-// up lets discovery be reached.
+// start makes discovery reachable.
 func (g *gateway) start() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -181,33 +207,34 @@
 	return nil
 }
 
-// down is a discovery that has died: connections are reset and new ones refused.
+// stop simulates a crashed discovery: connections are reset and new ones refused.
 func (g *gateway) stop() {
 	g.mu.Lock()
-	srv, stop := g.srv, g.stopped
+	srv, stopped := g.srv, g.stopped
 	g.srv = nil
 	g.mu.Unlock()
 	if srv != nil {
-		close(stop)
+		close(stopped)
 		srv.Close()
 	}
 }
 
-// cut is a network that is cut: connections stay, nothing passes. What hung in it is broken once it is back.
-func (g *gateway) setCutOff(on bool) {
+// setCutOff simulates a network partition: connections stay open, but no response passes. At its end the connections
+// are closed, which breaks the calls that hung meanwhile.
+func (g *gateway) setCutOff(cutOff bool) {
 	g.mu.Lock()
-	g.cutOff = on
-	if !on {
+	g.cutOff = cutOff
+	if !cutOff {
 		g.upSince = time.Now()
 	}
 	srv := g.srv
 	g.mu.Unlock()
-	if !on && srv != nil {
+	if !cutOff && srv != nil {
 		srv.CloseConnections()
 	}
 }
 
-// drop breaks the connections once; new ones are answered at once.
+// closeConnections closes the open connections; new ones are accepted immediately.
 func (g *gateway) closeConnections() {
 	g.mu.Lock()
 	srv := g.srv
@@ -229,7 +256,7 @@
 	return g.cutOff
 }
 
-// counted counts what passes a connection.
+// countingConn counts the bytes that pass a connection.
 type countingConn struct {
 	net.Conn
 	gateway *gateway
@@ -250,33 +277,33 @@
 // serve answers requests on one connection until it ends.
 func (g *gateway) serve(nc net.Conn) {
 	g.mu.Lock()
-	stop := g.stopped
+	stopped := g.stopped
 	g.mu.Unlock()
 	c := countingConn{nc, g}
-	br := bufio.NewReaderSize(c, 1024)
+	br := bufio.NewReaderSize(c, requestBuffer)
 	for {
 		req, body, err := platform.ReadRequest(br)
 		if err != nil {
 			return
 		}
 		var status int
-		var answer []byte
+		var response []byte
 		if !g.isCutOff() {
-			status, answer = g.handle(req, body, stop)
+			status, response = g.handle(req, body, stopped)
 		}
 		if g.isCutOff() || status == 0 {
-			_, _ = br.Peek(1) // until the sender ends the connection, or this side does
+			_, _ = br.Peek(1) // blocks until either side closes the connection
 			return
 		}
-		if err := writeResponse(c, status, answer); err != nil || req.Close {
+		if err := writeResponse(c, status, response); err != nil || req.Close {
 			return
 		}
 	}
 }
 
-// reply writes an answer without a copy of its body, which may be a whole list.
+// writeResponse writes a response without copying a large body, which may be a full list.
 func writeResponse(c net.Conn, status int, body []byte) error {
-	if len(body) < 1<<16 {
+	if len(body) < maxCopiedBody {
 		_, err := c.Write(http1.AppendResponse(nil, status, nil, body))
 		return err
 	}
@@ -287,7 +314,8 @@
 	return err
 }
 
-func (g *gateway) handle(req *http1.Request, body []byte, stop <-chan struct{}) (int, []byte) {
+// handle answers one request with a status and a body.
+func (g *gateway) handle(req *http1.Request, body []byte, stopped <-chan struct{}) (int, []byte) {
 	u, err := url.Parse(req.Target)
 	switch {
 	case err != nil:
@@ -297,66 +325,73 @@
 		return g.handleNotices(body), nil
 	case u.Path == "/registry/instances" && req.Method == "GET":
 		g.calls.Add(1)
-		return 200, g.handleWatch(u.Query(), stop)
+		return 200, g.handleWatch(u.Query(), stopped)
 	}
 	return 404, nil
 }
 
+// handleNotices records notices, one JSON object a line, and returns the status.
 func (g *gateway) handleNotices(body []byte) int {
 	for line := range bytes.Lines(body) {
-		var n struct{ Ref, Result string }
-		if json.Unmarshal(line, &n) != nil {
+		var notice struct{ Ref, Result string }
+		if json.Unmarshal(line, &notice) != nil {
 			return 400
 		}
-		g.d.onNotice(n.Ref, n.Result)
+		g.discovery.onNotice(notice.Ref, notice.Result)
 	}
 	return 204
 }
 
-// watch answers at once if there is news, else when there is or the wait is over.
-func (g *gateway) handleWatch(q url.Values, stop <-chan struct{}) []byte {
+// handleWatch returns the updates since the requested version: at once if there are any, otherwise when some come or
+// the wait is over. A request without a version gets the full list.
+func (g *gateway) handleWatch(q url.Values, stopped <-chan struct{}) []byte {
 	after, err := strconv.ParseInt(q.Get("after"), 10, 64)
 	if err != nil {
 		g.fullLists.Add(1)
-		return g.d.fullListBody()
+		return g.discovery.fullListBody()
 	}
-	wait, _ := strconv.Atoi(q.Get("wait_ms")) // none is 0
-	end := time.NewTimer(time.Duration(wait) * time.Millisecond)
-	defer end.Stop()
-	g.d.addOpenWatches(1)
-	defer g.d.addOpenWatches(-1)
+	waitMS, _ := strconv.Atoi(q.Get("wait_ms")) // 0 if missing
+	timeout := time.NewTimer(time.Duration(waitMS) * time.Millisecond)
+	defer timeout.Stop()
+	g.discovery.addOpenWatches(1)
+	defer g.discovery.addOpenWatches(-1)
 	for {
-		next := g.d.nextChange()
-		body, any, told := g.d.updatesSince(after)
-		if !told {
+		next := g.discovery.nextChange()
+		body, hasUpdates, known := g.discovery.updatesSince(after)
+		if !known {
 			g.fullLists.Add(1)
-			return g.d.fullListBody()
+			return g.discovery.fullListBody()
 		}
-		if any {
+		if hasUpdates {
 			return body
 		}
 		select {
 		case <-next:
-		case <-stop:
+		case <-stopped:
 			return body
-		case <-end.C:
+		case <-timeout.C:
 			return body
 		}
 	}
 }
 
+// addOpenWatches counts open watches and their maximum.
 func (d *discovery) addOpenWatches(n int64) {
 	if open := d.openWatches.Add(n); open > d.maxWatches.Load() {
-		d.maxWatches.Store(open) // two at once may miss by one
+		d.maxWatches.Store(open) // two watches that begin at the same time may leave it one too low
 	}
 }
 
-// changeOf reads the number of the change that brought an endpoint into being off its name.
+// changedHostPrefix begins the names of the endpoints that changes create; the number of the change follows.
+const changedHostPrefix = "g-"
+
+// changeNumber returns the number of the change that created an endpoint, from the endpoint's name; false for an
+// endpoint of the initial list.
 func changeNumber(host string) (int, bool) {
-	text, ok := strings.CutPrefix(host, "g-")
+	digits, ok := strings.CutPrefix(host, changedHostPrefix)
 	if !ok {
 		return 0, false
 	}
-	n, err := strconv.Atoi(text)
+	n, err := strconv.Atoi(digits)
 	return n, err == nil
 }
--- a/lab/scale/event.go
+++ b/lab/scale/event.go
@@ -1,5 +1,6 @@
-// This file owns the events at size: what is disturbed, for how long, and what the judge has to say. Traffic and changes go on
-// throughout, and some destinations are down all along.
+// This file owns the events: what is disturbed, for how long, and the judge's verdict. Traffic and changes go on
+// throughout, and some destinations are down all the time. A verdict must never be given on an event that could not be
+// played.
 
 package scale
 
@@ -10,105 +11,121 @@
 	"time"
 )
 
-// event plays one event between two spans of plain traffic.
-func (r *run) playEvent(st *environment, name string) []Row {
-	sh := &rowSet{axis: EventsAxis, bySubject: map[string]*Row{}}
-	row := sh.row(name)
+const (
+	// adoptionSlack is how much longer than the limit is waited for changes to be adopted, so that late ones are seen.
+	adoptionSlack = time.Second
+
+	// endPollInterval is how often the end of all messages is checked.
+	endPollInterval = 20 * time.Millisecond
+
+	// cutOffEvery is the distance between the senders that are cut off: every third.
+	cutOffEvery = 3
+
+	// eventZone is the zone that goes down.
+	eventZone = 2
+
+	// noZone is the value of environment.stoppedZone while no zone is down.
+	noZone = -1
+)
+
+// playEvent plays one event between two spans of undisturbed traffic.
+func (r *run) playEvent(env *environment, name string) []Row {
+	set := &rowSet{axis: EventsAxis, bySubject: map[string]*Row{}}
+	row := set.row(name)
 	e, within := r.plan.Events, r.plan.Within.D()
-	st.forEachSender(sh, func(s *realSender, one *Row) error { return r.startSender(st, s, one, "", within) })
-	st.startAllSimulated(sh, within)
-	for _, one := range sh.rows {
-		if one.Failure != "" {
-			row.Failure = fmt.Sprintf("%s: %s", one.Subject, one.Failure)
+	env.forEachSender(set, func(s *realSender, senderRow *Row) error {
+		return r.startSender(env, s, senderRow, "", within)
+	})
+	env.startAllSimulated(set, within)
+	for _, started := range set.rows {
+		if started.Failure != "" {
+			row.Failure = fmt.Sprintf("%s: %s", started.Subject, started.Failure)
 			return []Row{*row}
 		}
 	}
-	before := totalCounts(st.gateways)
-	ctx, stop := context.WithCancel(st.ctx)
+	before := totalCounts(env.gateways)
+	ctx, stop := context.WithCancel(env.ctx)
 	defer stop()
 	var wg sync.WaitGroup
-	for _, s := range st.senders {
-		wg.Go(func() { st.runTraffic(ctx, s, r.plan.Base.Messages, e.Deadline.D()) })
+	for _, s := range env.senders {
+		wg.Go(func() { env.runTraffic(ctx, s, r.plan.Base.Messages, e.Deadline.D()) })
 	}
-	wg.Go(func() { st.runChanges(ctx, st.setup.changes) })
-	d := &disturbance{run: r, env: st, row: row, excusedUntil: map[int]time.Time{}}
-	ok := st.sleep(e.Before.D())
+	wg.Go(func() { env.runChanges(ctx, env.setup.changes) })
+	d := &disturbance{run: r, env: env, row: row, excusedUntil: map[int]time.Time{}}
+	ok := env.sleep(e.Before.D())
 	if ok {
-		ok = map[string]func() bool{"restart_half": d.restartHalf, "discovery_away": d.discoveryAway, "cut_off": d.cutOff, "zone_down": d.zoneDown}[name]()
+		play := map[string]func() bool{
+			"restart_half":   d.restartHalf,
+			"discovery_away": d.discoveryAway,
+			"cut_off":        d.cutOff,
+			"zone_down":      d.zoneDown,
+		}
+		ok = play[name]()
 	}
-	ok = ok && st.sleep(e.Before.D())
+	ok = ok && env.sleep(e.Before.D())
 	stop()
 	wg.Wait()
-	if ok && st.waitAdopted(maxChangeDelay+time.Second) {
-		row.Figures["normal"] = max(0, st.tracker.lastAdoption(d.endedAt).Sub(d.endedAt).Seconds())
+	if ok && env.waitAdopted(maxChangeDelay+adoptionSlack) {
+		row.Figures["normal"] = max(0, env.tracker.lastAdoption(d.endedAt).Sub(d.endedAt).Seconds())
 	}
-	// What is owed must have ended by its time; and a second copy of something may still come.
-	for end := time.Now().Add(e.Deadline.D() + outageGrace); ok && st.tracker.unfinished() > 0 && time.Now().Before(end); {
-		ok = st.sleep(20 * time.Millisecond)
+	// Unfinished messages get until their deadline to end. After that, a duplicate of a message may still arrive.
+	end := time.Now().Add(e.Deadline.D() + outageGrace)
+	for ok && env.tracker.unfinished() > 0 && time.Now().Before(end) {
+		ok = env.sleep(endPollInterval)
 	}
-	if ok = ok && st.sleep(deadlineGrace); !ok && row.Failure == "" {
-		row.Failure = fmt.Sprint("broken off: ", context.Cause(st.ctx))
+	if ok = ok && env.sleep(deadlineGrace); !ok && row.Failure == "" {
+		row.Failure = fmt.Sprint("broken off: ", context.Cause(env.ctx))
 	}
-	for _, s := range st.senders {
+	for _, s := range env.senders {
 		if err := s.unexpectedExit(); err != nil {
 			row.fail(fmt.Errorf("sender %d: %w", s.index, err))
 		}
 	}
-	passed := totalCounts(st.gateways).minus(before)
-	row.Figures["event_bytes"], row.Figures["event_wholes"] = float64(passed.received+passed.sent), float64(passed.fullLists)
-	row.Figures["watches"] = float64(st.discovery.maxWatches.Load())
+	passed := totalCounts(env.gateways).minus(before)
+	row.Figures["event_bytes"] = float64(passed.received + passed.sent)
+	row.Figures["event_wholes"] = float64(passed.fullLists)
+	row.Figures["watches"] = float64(env.discovery.maxWatches.Load())
 	d.judge()
 	return []Row{*row}
 }
 
-// disturbance is what an event does, and from when on each real sender could end what it owed.
+// disturbance is an event under way. Its methods named after events return false if the event could not be played.
 type disturbance struct {
 	run          *run
 	env          *environment
 	row          *Row
-	excusedUntil map[int]time.Time
-	endedAt      time.Time // the end of the disturbance
-	violations   simulatedCounts
+	excusedUntil map[int]time.Time // by real sender: when it could end messages again
+	endedAt      time.Time
+	violations   simulatedCounts // by the modules of simulated senders
 }
 
-// restartHalf kills half of the senders at once and starts them again at once.
+// restartHalf kills half of the senders at the same time and restarts each at once.
 func (d *disturbance) restartHalf() bool {
-	st := d.env
+	env := d.env
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	ok := true
-	back := func(s *realSender, f func() error) {
-		if err := f(); err != nil {
-			mu.Lock()
-			defer mu.Unlock()
-			d.row.fail(fmt.Errorf("sender %d did not come back: %w", s.index, err))
-			ok = false
-		}
-	}
-	for _, s := range st.senders[:len(st.senders)/2] {
+	for _, s := range env.senders[:len(env.senders)/2] {
 		wg.Go(func() {
 			s.kill()
-			back(s, func() error {
-				if err := s.start(st.ctx); err != nil {
-					return err
-				}
-				st.tracker.markReachable(s.index, true, s.startTime())
-				_, err := s.waitReady(st.ctx, 3*d.run.plan.Within.D())
-				return err
-			})
+			err := d.restart(s)
 			mu.Lock()
 			defer mu.Unlock()
+			if err != nil {
+				d.row.fail(fmt.Errorf("sender %d did not restart: %w", s.index, err))
+				ok = false
+			}
 			d.excusedUntil[s.index] = s.readyTime()
 		})
 	}
-	for i, h := range st.simulated[:len(st.simulated)/2] {
+	for i, sim := range env.simulated[:len(env.simulated)/2] {
 		wg.Go(func() {
-			h.stop()
+			sim.stop()
 			mu.Lock()
 			defer mu.Unlock()
-			d.addViolations(h)
-			st.startSimulated(i)
-			st.tracker.markReachable(i, false, st.simulated[i].startedAt)
+			d.addViolations(sim)
+			env.startSimulated(i)
+			env.tracker.markReachable(i, false, env.simulated[i].startedAt)
 		})
 	}
 	wg.Wait()
@@ -116,20 +133,30 @@
 	return ok
 }
 
-// discoveryAway takes discovery away from all, and brings it back.
+// restart starts a killed sender and waits until it is ready.
+func (d *disturbance) restart(s *realSender) error {
+	if err := s.start(d.env.ctx); err != nil {
+		return err
+	}
+	d.env.tracker.markReachable(s.index, true, s.startTime())
+	_, err := s.waitReady(d.env.ctx, restartTimeoutFactor*d.run.plan.Within.D())
+	return err
+}
+
+// discoveryAway takes discovery down for all senders, and brings it back.
 func (d *disturbance) discoveryAway() bool {
-	st := d.env
+	env := d.env
 	var wg sync.WaitGroup
-	for _, g := range st.gateways {
+	for _, g := range env.gateways {
 		wg.Go(g.stop)
 	}
 	wg.Wait()
-	if !st.sleep(d.run.plan.Events.Away.D()) {
+	if !env.sleep(d.run.plan.Events.Away.D()) {
 		return false
 	}
-	for i, g := range st.gateways {
+	for i, g := range env.gateways {
 		if err := g.start(); err != nil {
-			d.row.fail(fmt.Errorf("the stand-in of discovery did not come back: %w", err))
+			d.row.fail(fmt.Errorf("restarting the stand-in discovery: %w", err))
 			return false
 		}
 		d.markReachable(i)
@@ -138,102 +165,111 @@
 	return true
 }
 
-// cutOff lets nothing pass between discovery and a third of the senders: connections stay, silent.
+// cutOff simulates a network partition between discovery and a third of the senders: connections stay open, but nothing
+// passes.
 func (d *disturbance) cutOff() bool {
-	st := d.env
+	env := d.env
 	var cut []int
-	for i := range st.gateways {
-		if i%3 == 0 {
+	for i := range env.gateways {
+		if i%cutOffEvery == 0 {
 			cut = append(cut, i)
-			st.gateways[i].setCutOff(true)
+			env.gateways[i].setCutOff(true)
 		}
 	}
-	if !st.sleep(d.run.plan.Events.Cut.D()) {
+	if !env.sleep(d.run.plan.Events.Cut.D()) {
 		return false
 	}
 	for _, i := range cut {
-		st.gateways[i].setCutOff(false)
+		env.gateways[i].setCutOff(false)
 		d.markReachable(i)
 	}
 	d.endedAt = time.Now()
 	return true
 }
 
-// returned notes that the way of a sender to discovery is back.
+// markReachable records that the gateway of a given index is back.
 func (d *disturbance) markReachable(i int) {
-	st := d.env
-	back := st.gateways[i].reachableSince()
-	if i < st.setup.real {
-		st.tracker.markReachable(i, true, back)
+	env := d.env
+	back := env.gateways[i].reachableSince()
+	if i < env.setup.real {
+		env.tracker.markReachable(i, true, back)
 		d.excusedUntil[i] = back
 		return
 	}
-	st.tracker.markReachable(i-st.setup.real, false, back)
+	env.tracker.markReachable(i-env.setup.real, false, back)
 }
 
-// zoneDown takes the destinations of a zone down at once, and brings them back.
+// zoneDown takes all destinations of a zone down at the same time, and brings them back.
 func (d *disturbance) zoneDown() bool {
-	const zone = 2
-	st := d.env
-	st.mu.Lock()
-	st.stoppedZone = zone
-	st.mu.Unlock()
-	st.destinations.stopZone(zone)
-	if !st.sleep(d.run.plan.Events.Zone.D()) {
+	env := d.env
+	env.mu.Lock()
+	env.stoppedZone = eventZone
+	env.mu.Unlock()
+	env.destinations.stopZone(eventZone)
+	if !env.sleep(d.run.plan.Events.Zone.D()) {
 		return false
 	}
-	st.tracker.startBurstCount(zone)
-	if err := st.destinations.startZone(zone); err != nil {
-		d.row.fail(fmt.Errorf("the destinations did not come back: %w", err))
+	env.tracker.startBurstCount(eventZone)
+	if err := env.destinations.startZone(eventZone); err != nil {
+		d.row.fail(fmt.Errorf("restarting the zone's destinations: %w", err))
 		return false
 	}
 	d.endedAt = time.Now()
-	if !st.sleep(burstWindow) {
+	if !env.sleep(burstWindow) {
 		return false
 	}
-	d.row.Figures["burst"] = float64(st.tracker.maxBurstCalls())
-	st.mu.Lock()
-	st.stoppedZone = -1
-	st.mu.Unlock()
+	d.row.Figures["burst"] = float64(env.tracker.maxBurstCalls())
+	env.mu.Lock()
+	env.stoppedZone = noZone
+	env.mu.Unlock()
 	return true
 }
 
-func (d *disturbance) addViolations(h *simulatedSender) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	d.violations.callsToUnavailable += h.counts.callsToUnavailable
-	d.violations.redundantCalls += h.counts.redundantCalls
-	d.violations.overdue += h.counts.overdue
+// addViolations adds the rule violations that a simulated sender counted.
+func (d *disturbance) addViolations(sim *simulatedSender) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	d.violations.callsToUnavailable += sim.counts.callsToUnavailable
+	d.violations.redundantCalls += sim.counts.redundantCalls
+	d.violations.overdue += sim.counts.overdue
 }
 
-// judge writes the judge's figures and its verdict.
+// judge writes the judge's figures and verdict into the row.
 func (d *disturbance) judge() {
-	st, row := d.env, d.row
-	v := st.tracker.judge(func(sender int) time.Time { return d.excusedUntil[sender] })
+	env, row := d.env, d.row
+	v := env.tracker.judge(func(sender int) time.Time { return d.excusedUntil[sender] })
 	now := time.Now()
-	real, hollow := st.tracker.changeDelays(0, true, -1, now), st.tracker.changeDelays(0, false, -1, now)
-	for _, h := range st.simulated {
-		d.addViolations(h)
+	real := env.tracker.changeDelays(0, true, allSenders, now)
+	simulated := env.tracker.changeDelays(0, false, allSenders, now)
+	for _, sim := range env.simulated {
+		d.addViolations(sim)
+	}
+	both := delayStats{
+		delaysMS: append(real.delaysMS, simulated.delaysMS...),
+		late:     real.late + simulated.late,
+		missing:  real.missing + simulated.missing,
 	}
-	both := delayStats{delaysMS: append(real.delaysMS, hollow.delaysMS...), late: real.late + hollow.late, missing: real.missing + hollow.missing}
 	putDelays(row, both)
 	broken := d.violations.callsToUnavailable + d.violations.redundantCalls + d.violations.overdue
-	for name, n := range map[string]int{"handed": v.submitted, "taken": v.accepted, "delivered": v.delivered, "told": v.notified, "lost": v.lost, "doubled": v.duplicated,
-		"ended_late": v.late, "stale": v.stale, "hollow_broken": broken} {
+	for name, n := range map[string]int{
+		"handed": v.submitted, "taken": v.accepted, "delivered": v.delivered, "told": v.notified,
+		"lost": v.lost, "doubled": v.duplicated, "ended_late": v.late, "stale": v.stale, "hollow_broken": broken,
+	} {
 		row.Figures[name] = float64(n)
 	}
-	pending := real.pending + hollow.pending
+	pending := real.pending + simulated.pending
 	switch {
 	case row.Failure != "":
 		row.Verdict = "not judged"
 	case v.firstViolation != "":
 		row.Verdict = "broken: " + v.firstViolation
 	case broken > 0:
-		row.Verdict = fmt.Sprintf("broken: modules of hollow senders made %d calls to what drains and %d for what is out or over, and left %d messages without an end",
+		row.Verdict = fmt.Sprintf("broken: modules of hollow senders made %d calls to what drains"+
+			" and %d for what is out or over, and left %d messages without an end",
 			d.violations.callsToUnavailable, d.violations.redundantCalls, d.violations.overdue)
 	case both.late > 0:
-		row.Verdict = fmt.Sprintf("broken: %d changes were not in force within %v, the slowest after %v", both.late, maxChangeDelay,
-			max(real.longest, hollow.longest).Round(time.Millisecond))
+		row.Verdict = fmt.Sprintf("broken: %d changes were not in force within %v, the slowest after %v",
+			both.late, maxChangeDelay, max(real.longest, simulated.longest).Round(time.Millisecond))
 	case pending > 0:
 		row.Verdict = fmt.Sprintf("broken: %d changes are not in force at the end", pending)
 	case v.accepted == 0 || len(both.delaysMS) == 0:
--- a/lab/scale/stage.go
+++ b/lab/scale/stage.go
@@ -1,5 +1,5 @@
-// This file owns what stands during one step: discovery, destinations, senders of both sorts, changes and traffic. Everything
-// that a stage starts has ended when close returns.
+// This file owns the environment of one step: discovery, destinations, real and simulated senders, changes and traffic.
+// It must leave nothing running: everything that an environment starts has ended when close returns.
 
 package scale
 
@@ -19,34 +19,47 @@
 	"eiderhaven/standin/platform"
 )
 
-// site is a part of this machine's loopback addresses that no other run uses: one address each for gates, senders and
-// destinations, so that no port of theirs is taken by a connection that goes out, and a listener that ends can come back.
+// addressBlock is a part of this machine's loopback addresses that no other run uses. Gateways, senders and
+// destinations have an address each, so that outgoing connections never take one of their ports and a stopped listener
+// can start again.
 type addressBlock struct {
-	claim                                        net.Listener
-	gatewayIP, senderIP, destinationIP, unusedIP string
+	claim                              net.Listener // held during the run to keep other runs off the block
+	gatewayIP, senderIP, destinationIP string
+	unusedIP                           string // nothing listens there
 }
 
+// claimPort is the port whose listener claims a block of addresses.
 const claimPort = 19999
 
+// maxClaims is how many blocks are tried.
+const maxClaims = 100
+
+// firstPort is the first port of the listeners on each address.
+const firstPort = 20000
+
+// claimAddresses claims a random block of addresses, 127.X.Y.*.
 func claimAddresses(seed uint64) (*addressBlock, error) {
 	rng := rand.New(rand.NewPCG(seed, uint64(time.Now().UnixNano())))
 	var err error
-	for range 100 {
-		net24 := fmt.Sprintf("127.%d.%d.", 64+rng.IntN(128), 1+rng.IntN(254))
+	for range maxClaims {
+		prefix := fmt.Sprintf("127.%d.%d.", 64+rng.IntN(128), 1+rng.IntN(254))
 		var claim net.Listener
-		if claim, err = net.Listen("tcp", fmt.Sprintf("%s1:%d", net24, claimPort)); err == nil {
-			return &addressBlock{claim, net24 + "2", net24 + "3", net24 + "4", net24 + "5"}, nil
+		if claim, err = net.Listen("tcp", fmt.Sprintf("%s1:%d", prefix, claimPort)); err == nil {
+			return &addressBlock{
+				claim: claim, gatewayIP: prefix + "2", senderIP: prefix + "3",
+				destinationIP: prefix + "4", unusedIP: prefix + "5",
+			}, nil
 		}
 	}
-	return nil, fmt.Errorf("no loopback addresses beside 127.0.0.1 to listen on: %w", err)
+	return nil, fmt.Errorf("listening on a loopback address other than 127.0.0.1: %w", err)
 }
 
-// stage is what stands during a step.
+// environment is everything that exists during a step.
 type environment struct {
 	plan         *Plan
 	setup        setup
 	addresses    *addressBlock
-	dir          string
+	dir          string // temporary, of the real senders
 	discovery    *discovery
 	destinations *destinations
 	tracker      *tracker
@@ -54,148 +67,167 @@
 	names        *settings.Names
 	senders      []*realSender
 	simulated    []*simulatedSender
-	gateways     []*gateway // the real senders' first
+	gateways     []*gateway // of the real senders, then of the simulated ones
 
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 	wg     sync.WaitGroup
 
-	mu                sync.Mutex
-	currentEndpoints  map[int]platform.Entry // by destination, where it is not the first endpoint
-	drainingEndpoints map[int]platform.Entry
-	changeOrder       []int // destinations in the order in which they change
-	changesMade       int
-	stoppedZone       int   // zone whose destinations do not change now, as they cannot be reached; negative for none
-	downDestinations  []int // destinations that are down all along
+	mu                sync.Mutex             // guards the fields below
+	currentEndpoints  map[int]platform.Entry // by destination; only of destinations that have changed
+	drainingEndpoints map[int]platform.Entry // by destination
+	changeOrder       []int                  // destinations in the order in which they change, over and over
+	nextChange        int                    // counts up; its place in changeOrder is the remainder
+	stoppedZone       int                    // zone whose destinations do not change, as they are down; or noZone
+	downDestinations  []int                  // destinations that are down all the time
 }
 
-func newEnvironment(ctx context.Context, r *run, s setup) (st *environment, err error) {
-	st = &environment{plan: r.plan, setup: s, addresses: r.addresses, tracker: newTracker(), stoppedZone: -1, currentEndpoints: map[int]platform.Entry{}, drainingEndpoints: map[int]platform.Entry{}}
-	st.ctx, st.cancel = context.WithCancelCause(ctx)
+// newEnvironment starts discovery and the destinations, and prepares the real senders.
+func newEnvironment(ctx context.Context, r *run, s setup) (env *environment, err error) {
+	env = &environment{
+		plan: r.plan, setup: s, addresses: r.addresses, tracker: newTracker(), stoppedZone: noZone,
+		currentEndpoints: map[int]platform.Entry{}, drainingEndpoints: map[int]platform.Entry{},
+	}
+	env.ctx, env.cancel = context.WithCancelCause(ctx)
 	defer func() {
 		if err != nil {
-			st.close()
+			env.close()
 		}
 	}()
-	if st.dir, err = os.MkdirTemp("", "eiderlab-scale"); err != nil {
-		return st, err
+	if env.dir, err = os.MkdirTemp("", "eiderlab-scale"); err != nil {
+		return env, err
 	}
 	text, err := json.Marshal(senderSettings(r.plan, s))
 	if err != nil {
-		return st, err
+		return env, err
 	}
-	if st.settings, st.names, err = settings.DecodeChecked(text, r.plan.Seed); err != nil {
-		return st, err
+	if env.settings, env.names, err = settings.DecodeChecked(text, r.plan.Seed); err != nil {
+		return env, err
 	}
-	if st.destinations, err = newDestinations(r.addresses.destinationIP, r.addresses.unusedIP, r.plan.Base.ListedRate, st.tracker.recordCall); err != nil {
-		return st, err
+	env.destinations, err = newDestinations(r.addresses.destinationIP, r.addresses.unusedIP,
+		r.plan.Base.ListedRate, env.tracker.recordCall)
+	if err != nil {
+		return env, err
 	}
-	st.discovery = newDiscovery(st.initialEntries(), st.tracker.recordNotice)
+	env.discovery = newDiscovery(env.initialEntries(), env.tracker.recordNotice)
 	for i := range s.real + s.simulated {
-		g, err := newGateway(st.discovery, fmt.Sprintf("%s:%d", r.addresses.gatewayIP, 20000+i))
+		g, err := newGateway(env.discovery, fmt.Sprintf("%s:%d", r.addresses.gatewayIP, firstPort+i))
 		if err != nil {
-			return st, err
+			return env, err
 		}
-		st.gateways = append(st.gateways, g)
+		env.gateways = append(env.gateways, g)
 	}
 	for i := range s.real {
-		one, err := newRealSender(r.plan, s, i, r.starter, r.program, st.dir, fmt.Sprintf("%s:%d", r.addresses.senderIP, 20000+i), st.gateways[i])
+		listen := fmt.Sprintf("%s:%d", r.addresses.senderIP, firstPort+i)
+		sender, err := newRealSender(r.plan, s, i, r.starter, r.program, env.dir, listen, env.gateways[i])
 		if err != nil {
-			return st, err
+			return env, err
 		}
-		st.senders = append(st.senders, one)
+		env.senders = append(env.senders, sender)
 	}
-	return st, nil
+	return env, nil
 }
 
-// entries is the first list. Destinations that are down lie evenly among the others.
-func (st *environment) initialEntries() []platform.Entry {
-	n := st.setup.destinations
+// initialHost returns the name of a destination's first endpoint.
+func initialHost(dest int) string { return fmt.Sprintf("s-%08x", dest) }
+
+// initialEntries returns the first list. Destinations that are down are spread evenly over it. The others are shuffled
+// into the order in which they change.
+func (env *environment) initialEntries() []platform.Entry {
+	n := env.setup.destinations
 	every := n
-	if st.setup.down > 0 {
-		every = n / st.setup.down
+	if env.setup.down > 0 {
+		every = n / env.setup.down
 	}
 	list := make([]platform.Entry, n)
 	for i := range list {
-		down := len(st.downDestinations) < st.setup.down && i%every == every-1
+		down := len(env.downDestinations) < env.setup.down && i%every == every-1
 		if down {
-			st.downDestinations = append(st.downDestinations, i)
+			env.downDestinations = append(env.downDestinations, i)
 		} else {
-			st.changeOrder = append(st.changeOrder, i)
+			env.changeOrder = append(env.changeOrder, i)
 		}
-		list[i] = st.destinations.entry(i, 0, fmt.Sprintf("s-%08x", i), down)
+		list[i] = env.destinations.entry(i, 0, initialHost(i), down)
 	}
-	rng := rand.New(rand.NewPCG(st.plan.Seed, 3))
-	rng.Shuffle(len(st.changeOrder), func(i, j int) { st.changeOrder[i], st.changeOrder[j] = st.changeOrder[j], st.changeOrder[i] })
+	rng := rand.New(rand.NewPCG(env.plan.Seed, 3))
+	order := env.changeOrder
+	rng.Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
 	return list
 }
 
-// close ends all of it.
-func (st *environment) close() {
-	st.cancel(errors.New("the step is over"))
-	for _, s := range st.senders {
+// close ends everything that the environment has started.
+func (env *environment) close() {
+	env.cancel(errors.New("the step has ended"))
+	for _, s := range env.senders {
 		s.kill()
 	}
 	var wg sync.WaitGroup
-	for _, h := range st.simulated {
-		wg.Go(h.stop)
+	for _, sim := range env.simulated {
+		wg.Go(sim.stop)
 	}
-	for _, g := range st.gateways {
+	for _, g := range env.gateways {
 		wg.Go(g.stop)
 	}
 	wg.Wait()
-	st.wg.Wait()
-	if st.destinations != nil {
-		st.destinations.close()
+	env.wg.Wait()
+	if env.destinations != nil {
+		env.destinations.close()
 	}
-	if st.dir != "" {
-		_ = os.RemoveAll(st.dir) // what stays is in the system's folder for such
+	if env.dir != "" {
+		_ = os.RemoveAll(env.dir) // on failure the rest stays in the system's directory for temporary files
 	}
 }
 
-// startHollow starts the hollow sender of a number, which may have been one before.
-func (st *environment) startSimulated(i int) {
-	h := startSimulated(i, st.gateways[st.setup.real+i], st.settings, st.names, st.plan.Seed, st.plan.Base.SimulatedMessages, 16*time.Second, st.destinations.isAccepting, st.tracker.recordSimulatedAdoption)
-	if i < len(st.simulated) {
-		st.simulated[i] = h
+// simulatedLifetime is the time from a simulated sender's message to its deadline.
+const simulatedLifetime = 16 * time.Second
+
+// startSimulated starts the simulated sender with a given index, in place of an earlier one if there was one.
+func (env *environment) startSimulated(i int) {
+	sim := startSimulated(i, env.gateways[env.setup.real+i], env.settings, env.names, env.plan.Seed,
+		env.plan.Base.SimulatedMessages, simulatedLifetime,
+		env.destinations.isAccepting, env.tracker.recordSimulatedAdoption)
+	if i < len(env.simulated) {
+		env.simulated[i] = sim
 	} else {
-		st.simulated = append(st.simulated, h)
+		env.simulated = append(env.simulated, sim)
 	}
 }
 
-// change puts another endpoint in the place of a destination's. The old one drains, the one before it goes.
-func (st *environment) publishChange() *change {
-	st.mu.Lock()
-	defer st.mu.Unlock()
-	dest := st.changeOrder[st.changesMade%len(st.changeOrder)]
-	for st.changesMade++; dest%zoneCount == st.stoppedZone; st.changesMade++ {
-		dest = st.changeOrder[st.changesMade%len(st.changeOrder)]
-	}
-	c := st.tracker.addChange(dest)
-	old, changed := st.currentEndpoints[dest]
+// publishChange replaces a destination's endpoint by another. The old endpoint drains, and the one before it is
+// removed.
+func (env *environment) publishChange() *change {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	dest := env.changeOrder[env.nextChange%len(env.changeOrder)]
+	for env.nextChange++; dest%zoneCount == env.stoppedZone; env.nextChange++ {
+		dest = env.changeOrder[env.nextChange%len(env.changeOrder)]
+	}
+	c := env.tracker.addChange(dest)
+	old, changed := env.currentEndpoints[dest]
 	if !changed {
-		old = st.destinations.entry(dest, 0, fmt.Sprintf("s-%08x", dest), false)
+		old = env.destinations.entry(dest, 0, initialHost(dest), false)
 	}
-	fresh := st.destinations.entry(dest, c.side, fmt.Sprint("g-", c.number), false)
-	var list []platform.Entry
-	if gone, ok := st.drainingEndpoints[dest]; ok {
+	replacement := env.destinations.entry(dest, c.side, fmt.Sprint(changedHostPrefix, c.number), false)
+	var entries []platform.Entry
+	if gone, ok := env.drainingEndpoints[dest]; ok {
 		gone.Health = "Gone"
-		list = append(list, gone)
+		entries = append(entries, gone)
 	}
 	old.Health = "Terminating"
-	st.currentEndpoints[dest], st.drainingEndpoints[dest] = fresh, old
-	st.tracker.markPublished(c)
-	for _, s := range st.senders {
+	env.currentEndpoints[dest] = replacement
+	env.drainingEndpoints[dest] = old
+	env.tracker.markPublished(c)
+	for _, s := range env.senders {
 		if s.unexpectedExit() == nil {
-			st.tracker.markVisible(c, s.index, true, laterOf(s.startTime(), s.gateway.reachableSince()))
+			env.tracker.markVisible(c, s.index, true, laterOf(s.startTime(), s.gateway.reachableSince()))
 		}
 	}
-	for _, h := range st.simulated {
-		st.tracker.markVisible(c, h.index, false, laterOf(h.startedAt, h.gateway.reachableSince()))
+	for _, sim := range env.simulated {
+		env.tracker.markVisible(c, sim.index, false, laterOf(sim.startedAt, sim.gateway.reachableSince()))
 	}
-	st.discovery.publish(append(list, old, fresh)...)
-	for _, s := range st.senders {
-		st.wg.Go(func() { st.probe(c, s) })
+	env.discovery.publish(append(entries, old, replacement)...)
+	for _, s := range env.senders {
+		env.wg.Go(func() { env.probe(c, s) })
 	}
 	return c
 }
@@ -207,58 +239,64 @@
 	return b
 }
 
-// probeEvery is between two messages that are to show whether a change is in force: the grain of that measurement.
+// Probes are messages that show whether a sender has adopted a change. The interval between them is the resolution of
+// the measured delays.
 const (
 	probeInterval     = 10 * time.Millisecond
-	slowProbeInterval = 200 * time.Millisecond // after the first second
+	slowProbeInterval = 200 * time.Millisecond // once a change has been probed for fastProbeTime
+	fastProbeTime     = time.Second
 	probeLifetime     = 2 * time.Second
+
+	// Two probes after the adoption, the second of them more than staleGrace later, must not go to the old endpoint.
+	staleProbes        = 2
+	staleProbeInterval = staleGrace * 6 / 10
 )
 
-// probe hands in messages for a changed destination until one goes by the change, or its time is over; and then two more,
-// which must not go the old way.
-func (st *environment) probe(c *change, s *realSender) {
-	begun, n := time.Now(), 0
-	hand := func() bool {
+// probe submits probes for a changed destination until one goes to the new endpoint or the change is obsolete, and then
+// some more that must not go to the old endpoint.
+func (env *environment) probe(c *change, s *realSender) {
+	started, n := time.Now(), 0
+	submit := func() bool {
 		n++
 		s.submit(probeID(c.number, s.index, n), classSafe, c.dest, probeLifetime)
 		pause := probeInterval
-		if time.Since(begun) > time.Second {
+		if time.Since(started) > fastProbeTime {
 			pause = slowProbeInterval
 		}
-		return st.sleep(pause)
+		return env.sleep(pause)
 	}
-	for !st.tracker.adopted(c, s.index) {
-		if st.tracker.obsolete(c, s.index) || !hand() {
+	for !env.tracker.adopted(c, s.index) {
+		if env.tracker.obsolete(c, s.index) || !submit() {
 			return
 		}
 	}
-	for range 2 {
-		if !st.sleep(staleGrace*6/10) || !hand() {
+	for range staleProbes {
+		if !env.sleep(staleProbeInterval) || !submit() {
 			return
 		}
 	}
 }
 
-// sleep is false if the stage ends meanwhile.
-func (st *environment) sleep(d time.Duration) bool {
+// sleep waits, and returns false if the environment ends meanwhile.
+func (env *environment) sleep(d time.Duration) bool {
 	select {
-	case <-st.ctx.Done():
+	case <-env.ctx.Done():
 		return false
 	case <-time.After(d):
 		return true
 	}
 }
 
-// changing makes changes at an even rate until the context ends.
-func (st *environment) runChanges(ctx context.Context, aMinute int) {
-	if aMinute == 0 {
+// runChanges publishes changes at a constant rate until the context ends.
+func (env *environment) runChanges(ctx context.Context, perMinute int) {
+	if perMinute == 0 {
 		return
 	}
-	every := time.Duration(float64(time.Minute) / float64(aMinute))
-	tick := time.NewTicker(every)
+	interval := time.Duration(float64(time.Minute) / float64(perMinute))
+	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for {
-		st.publishChange()
+		env.publishChange()
 		select {
 		case <-ctx.Done():
 			return
@@ -267,16 +305,16 @@
 	}
 }
 
-// traffic hands messages in to a sender at an even rate until the context ends, however late the answers are, and waits for those
-// that are out. Every third may not run twice.
-func (st *environment) runTraffic(ctx context.Context, s *realSender, rate float64, lasts time.Duration) {
+// runTraffic submits messages to a sender at a constant rate until the context ends, however late the answers are, and
+// waits for the answers. Every third message must not be delivered twice.
+func (env *environment) runTraffic(ctx context.Context, s *realSender, rate float64, lifetime time.Duration) {
 	if rate <= 0 {
 		return
 	}
-	rng := rand.New(rand.NewPCG(st.plan.Seed, uint64(1000+s.index)))
+	rng := rand.New(rand.NewPCG(env.plan.Seed, uint64(1000+s.index)))
 	tick := time.NewTicker(time.Duration(float64(time.Second) / rate))
 	defer tick.Stop()
-	room := make(chan struct{}, maxClientConns/2)
+	inFlight := make(chan struct{}, maxClientConns/2)
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for n := 0; ; n++ {
@@ -285,29 +323,38 @@
 			return
 		case <-tick.C:
 		}
-		once, dest := n%3 == 2, rng.IntN(st.setup.destinations)
-		id, class := trafficID(s.index, n, once), classSafe
-		if once {
+		atMostOnce := n%3 == 2
+		dest := rng.IntN(env.setup.destinations)
+		id, class := trafficID(s.index, n, atMostOnce), classSafe
+		if atMostOnce {
 			class = classOnce
 		}
 		select {
-		case room <- struct{}{}:
+		case inFlight <- struct{}{}:
 		case <-ctx.Done():
 			return
 		}
 		wg.Go(func() {
-			defer func() { <-room }()
-			st.tracker.recordSubmission(id, message{sender: s.index, dest: dest, atMostOnce: once, deadline: time.Now().Add(lasts)})
-			st.tracker.recordAnswer(id, s.submit(id, class, dest, lasts) == 202)
+			defer func() { <-inFlight }()
+			env.tracker.recordSubmission(id, message{
+				sender: s.index, dest: dest, atMostOnce: atMostOnce, deadline: time.Now().Add(lifetime),
+			})
+			status := s.submit(id, class, dest, lifetime)
+			env.tracker.recordAnswer(id, status == statusAccepted)
 		})
 	}
 }
 
-// fill hands in messages that a sender will hold, as fast as it takes them, and returns how many it took and in what time.
-func (st *environment) submitHeld(ctx context.Context, s *realSender, n int, limit time.Duration) (taken int, took time.Duration) {
+// heldRetryPause is the pause before a message that was not accepted is submitted again.
+const heldRetryPause = 10 * time.Millisecond
+
+// submitHeld submits messages that a sender will hold, as fast as it accepts them, and returns how many it accepted
+// within the limit and how long that took.
+func (env *environment) submitHeld(ctx context.Context, s *realSender, n int, limit time.Duration) (accepted int,
+	took time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	begun := time.Now()
+	started := time.Now()
 	var mu sync.Mutex
 	next := 0
 	var wg sync.WaitGroup
@@ -322,28 +369,30 @@
 					return
 				}
 				for ctx.Err() == nil && s.unexpectedExit() == nil {
-					if s.submit(fmt.Sprintf("f-%d-%d", s.index, i), classHeld, st.downDestinations[0], holdTime) == 202 {
+					id := fmt.Sprintf("f-%d-%d", s.index, i)
+					if s.submit(id, classHeld, env.downDestinations[0], holdTime) == statusAccepted {
 						mu.Lock()
-						taken++
+						accepted++
 						mu.Unlock()
 						break
 					}
-					time.Sleep(10 * time.Millisecond)
+					time.Sleep(heldRetryPause)
 				}
 			}
 		})
 	}
 	wg.Wait()
-	return taken, time.Since(begun)
+	return accepted, time.Since(started)
 }
 
-// heard waits until a sender takes a message for a destination that only discovery's list names, and returns how long after
-// its start that was.
-func (st *environment) waitForList(ctx context.Context, s *realSender, limit time.Duration) (time.Duration, error) {
+// waitForList waits until a sender accepts a message for a destination that only discovery's list has, and returns how
+// long after the sender's start that was.
+func (env *environment) waitForList(ctx context.Context, s *realSender, limit time.Duration) (time.Duration, error) {
 	n := 0
-	err := s.waitUntil(ctx, "the list was not heard", limit, func() bool {
+	err := s.waitUntil(ctx, "no list from discovery", limit, func() bool {
 		n++
-		return s.submit(fmt.Sprintf("f-list-%d-%d-%d", s.index, n, time.Now().UnixNano()), classSafe, st.changeOrder[0], probeLifetime) == 202
+		id := fmt.Sprintf("f-list-%d-%d-%d", s.index, n, time.Now().UnixNano())
+		return s.submit(id, classSafe, env.changeOrder[0], probeLifetime) == statusAccepted
 	})
 	return time.Since(s.startTime()), err
 }
--- a/lab/scale/tracker.go
+++ b/lab/scale/tracker.go
@@ -1,5 +1,6 @@
-// This file owns what is known of each message and each change, and judges by it. It hears of a message from who handed it in,
-// from the destinations and from the notices, and shares no code with the sender.
+// This file owns the records of messages and changes and the checks made on them. It learns of a message from the
+// client that submitted it, from the destinations and from the notices. It must never share code with the sender it
+// checks.
 
 package scale
 
@@ -11,181 +12,200 @@
 	"time"
 )
 
-// burstSpan is how long calls are counted after a zone's return.
+// burstWindow is how long calls are counted after a zone's destinations are reachable again.
 const burstWindow = 2 * time.Second
 
-// Limits that the judge goes by.
+// Limits that the judge applies.
 const (
-	maxChangeDelay = 13 * time.Second       // a change, from when its sender could hear of it
-	deadlineGrace  = 350 * time.Millisecond // a message's end, past its time: the protocol's 300 ms and the slack of 50
-	outageGrace    = 3 * time.Second        // the same, from when the sender and its discovery are back
-	maxOutage      = 5 * time.Minute        // that a plan may hold
-	staleGrace     = 500 * time.Millisecond // past the first call by a change, no call of the same sender goes the old way
+	// maxChangeDelay is the longest time from when a sender could learn of a change until its calls follow it.
+	maxChangeDelay = 13 * time.Second
+
+	// deadlineGrace is how long after its deadline a message may end: the protocol's 300 ms and 50 ms of slack.
+	deadlineGrace = 350 * time.Millisecond
+
+	// outageGrace is how long a message may take to end after its sender and the way to discovery are back.
+	outageGrace = 3 * time.Second
+
+	// maxOutage is the longest outage that a plan may contain.
+	maxOutage = 5 * time.Minute
+
+	// staleGrace is the time after a sender's first call by a change from which none of its calls may go to the
+	// replaced endpoint.
+	staleGrace = 500 * time.Millisecond
 )
 
-// change is one endpoint that takes another's place.
+// change is the replacement of a destination's endpoint by another.
 type change struct {
-	number, dest, side int
-	published          time.Time
-	latest             bool              // no later change of the destination so far
-	real, simulated    map[int]adoption  // by sender
-	staleCalls         map[int]time.Time // by real sender, the first call the old way after one by the change
+	number, dest    int
+	side            int // of the zone's two listeners, the one that the new endpoint uses
+	published       time.Time
+	latest          bool              // the destination has no later change so far
+	real, simulated map[int]adoption  // by sender
+	staleCalls      map[int]time.Time // by real sender: its first call to the replaced endpoint after staleGrace
 }
 
-// forced is when a change was in force at a sender, and since when it could have been heard of.
+// adoption records since when a sender could learn of a change, and when its calls first followed it.
 type adoption struct{ adoptedAt, visibleSince time.Time }
 
-// message is one that was handed in by the traffic.
+// message is what is known of one message of the traffic.
 type message struct {
 	sender        int
 	dest          int
-	atMostOnce    bool // it may not run twice
+	atMostOnce    bool // it must not be delivered twice
 	deadline      time.Time
 	accepted      bool
 	calls         int
-	firstDelivery time.Time // first
-	firstNotice   time.Time // first notice
-	bounced       bool      // by that notice: handing it in again is said to be harmless
+	firstDelivery time.Time
+	firstNotice   time.Time
+	bounced       bool // by that notice, which says that it is safe to submit the message again
 }
 
-// book holds messages and changes.
+// tracker records messages and changes.
 type tracker struct {
 	mu             sync.Mutex
 	messages       map[string]*message
 	changes        []*change
 	latestChange   map[int]*change // by destination
-	duplicates     []string        // messages that ran twice and may not
-	returnedZone   int             // that came back last
+	duplicates     []string        // IDs of at-most-once messages that were delivered again
+	returnedZone   int             // the zone that was last made reachable again
 	zoneReturnedAt time.Time
-	burstCalls     map[int]int // calls at its destinations since, for burstSpan
+	burstCalls     map[int]int // by destination of that zone: calls within burstWindow
 }
 
 func newTracker() *tracker {
 	return &tracker{messages: map[string]*message{}, latestChange: map[int]*change{}, burstCalls: map[int]int{}}
 }
 
-// Names: t-SENDER-NUMBER-CLASS for traffic, p-CHANGE-SENDER-NUMBER for a probe, f-... for what is only to be held.
-func trafficID(sender, n int, once bool) string {
-	if once {
+// trafficID returns the ID of a message of the traffic, t-SENDER-NUMBER-CLASS. Probes have p-CHANGE-SENDER-NUMBER, and
+// messages that are only to be held begin with f-.
+func trafficID(sender, n int, atMostOnce bool) string {
+	if atMostOnce {
 		return fmt.Sprintf("t-%d-%d-o", sender, n)
 	}
 	return fmt.Sprintf("t-%d-%d-s", sender, n)
 }
 
+// probeID returns the ID of a probe, a message that shows whether a sender has adopted a change.
 func probeID(change, sender, n int) string { return fmt.Sprintf("p-%d-%d-%d", change, sender, n) }
 
-// handing notes a message that is about to be handed in.
-func (b *tracker) recordSubmission(id string, m message) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.messages[id] = &m
+// recordSubmission records a message that is about to be submitted.
+func (t *tracker) recordSubmission(id string, m message) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.messages[id] = &m
 }
 
-// answered notes what the sender said: only what it has taken on does it owe an end.
-func (b *tracker) recordAnswer(id string, taken bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if m := b.messages[id]; m != nil {
-		m.accepted = taken
+// recordAnswer records whether the sender accepted a message. Only accepted messages must end.
+func (t *tracker) recordAnswer(id string, accepted bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if m := t.messages[id]; m != nil {
+		m.accepted = accepted
 	}
 }
 
-// arrived notes a call at a destination.
-func (b *tracker) recordCall(id string, side int) {
+// recordCall records a call that reached a destination at one of its zone's two listeners.
+func (t *tracker) recordCall(id string, side int) {
 	now := time.Now()
 	switch {
 	case strings.HasPrefix(id, "t-"):
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		if m := b.messages[id]; m != nil {
+		t.mu.Lock()
+		defer t.mu.Unlock()
+		if m := t.messages[id]; m != nil {
 			m.calls++
-			if m.dest%zoneCount == b.returnedZone && !b.zoneReturnedAt.IsZero() && now.Sub(b.zoneReturnedAt) < burstWindow {
-				b.burstCalls[m.dest]++
+			inReturnedZone := m.dest%zoneCount == t.returnedZone && !t.zoneReturnedAt.IsZero()
+			if inReturnedZone && now.Sub(t.zoneReturnedAt) < burstWindow {
+				t.burstCalls[m.dest]++
 			}
 			if m.calls == 1 {
 				m.firstDelivery = now
 			} else if m.atMostOnce {
-				b.duplicates = append(b.duplicates, id)
+				t.duplicates = append(t.duplicates, id)
 			}
 		}
 	case strings.HasPrefix(id, "p-"):
-		f := strings.Split(id, "-")
-		if len(f) != 4 {
+		parts := strings.Split(id, "-")
+		if len(parts) != 4 {
 			return
 		}
-		n, bad := strconv.Atoi(f[1])
-		sender, worse := strconv.Atoi(f[2])
-		if bad == nil && worse == nil {
-			b.recordProbe(n, sender, side, now)
+		n, changeErr := strconv.Atoi(parts[1])
+		sender, senderErr := strconv.Atoi(parts[2])
+		if changeErr == nil && senderErr == nil {
+			t.recordProbe(n, sender, side, now)
 		}
 	}
 }
 
-// zoneBack begins to count the calls at a zone's destinations.
-func (b *tracker) startBurstCount(zone int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.returnedZone, b.zoneReturnedAt = zone, time.Now()
+// startBurstCount starts counting the calls at a zone's destinations.
+func (t *tracker) startBurstCount(zone int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.returnedZone, t.zoneReturnedAt = zone, time.Now()
 }
 
-// mostCalls is the most at one destination since.
-func (b *tracker) maxBurstCalls() (most int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, n := range b.burstCalls {
+// maxBurstCalls returns the largest count of a single destination since then.
+func (t *tracker) maxBurstCalls() (most int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, n := range t.burstCalls {
 		most = max(most, n)
 	}
 	return most
 }
 
-// probed notes a probe's call: the first at the new endpoint is the first by the change.
-func (b *tracker) recordProbe(n, sender, side int, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if n >= len(b.changes) {
+// recordProbe records a probe's call. The first one at the new endpoint shows that the sender has adopted the change.
+func (t *tracker) recordProbe(n, sender, side int, now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if n >= len(t.changes) {
 		return
 	}
-	c := b.changes[n]
-	f, known := c.real[sender]
+	c := t.changes[n]
+	a, known := c.real[sender]
 	switch {
-	case side == c.side && (!known || f.adoptedAt.IsZero()):
-		f.adoptedAt = now
-		c.real[sender] = f
-	case side != c.side && known && !f.adoptedAt.IsZero() && c.latest && now.Sub(f.adoptedAt) > staleGrace && c.staleCalls[sender].IsZero():
+	case side == c.side && (!known || a.adoptedAt.IsZero()):
+		a.adoptedAt = now
+		c.real[sender] = a
+	case side != c.side && known && !a.adoptedAt.IsZero() && c.latest &&
+		now.Sub(a.adoptedAt) > staleGrace && c.staleCalls[sender].IsZero():
 		c.staleCalls[sender] = now
 	}
 }
 
-// noticed notes a sender's word that a message ended undelivered.
-func (b *tracker) recordNotice(id, result string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if m := b.messages[id]; m != nil && m.firstNotice.IsZero() {
+// recordNotice records a sender's notice that a message ended undelivered.
+func (t *tracker) recordNotice(id, result string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if m := t.messages[id]; m != nil && m.firstNotice.IsZero() {
 		m.firstNotice, m.bounced = time.Now(), result == "bounced"
 	}
 }
 
-// changing opens the book for a change of a destination and returns it.
-func (b *tracker) addChange(dest int) *change {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	c := &change{number: len(b.changes), dest: dest, side: 1, latest: true, real: map[int]adoption{}, simulated: map[int]adoption{}, staleCalls: map[int]time.Time{}}
-	if old := b.latestChange[dest]; old != nil {
-		old.latest = false
-		c.side = 1 - old.side
+// addChange adds a change of a destination and returns it.
+func (t *tracker) addChange(dest int) *change {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	c := &change{
+		number: len(t.changes), dest: dest, side: 1, latest: true,
+		real: map[int]adoption{}, simulated: map[int]adoption{}, staleCalls: map[int]time.Time{},
+	}
+	if previous := t.latestChange[dest]; previous != nil {
+		previous.latest = false
+		c.side = 1 - previous.side
 	}
-	b.latestChange[dest] = c
-	b.changes = append(b.changes, c)
+	t.latestChange[dest] = c
+	t.changes = append(t.changes, c)
 	return c
 }
 
-// publishing notes the time at which a change is told.
-func (b *tracker) markPublished(c *change) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// markPublished records that a change is published now.
+func (t *tracker) markPublished(c *change) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	c.published = time.Now()
 }
 
+// adoptions returns the change's adoptions by real or by simulated senders.
 func (c *change) adoptions(real bool) map[int]adoption {
 	if real {
 		return c.real
@@ -193,76 +213,81 @@
 	return c.simulated
 }
 
-// could notes since when a sender could hear of a change.
-func (b *tracker) markVisible(c *change, sender int, real bool, since time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// markVisible records since when a sender could learn of a change.
+func (t *tracker) markVisible(c *change, sender int, real bool, since time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	c.adoptions(real)[sender] = adoption{visibleSince: laterOf(since, c.published)}
 }
 
-// returned notes that a sender, or its way to discovery, is back: what it has not heard yet it could hear from then on.
-func (b *tracker) markReachable(sender int, real bool, at time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, c := range b.changes {
+// markReachable records that a sender, or its way to discovery, is back: changes that it has not adopted are visible to
+// it from then on.
+func (t *tracker) markReachable(sender int, real bool, at time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, c := range t.changes {
 		if c.adoptions(real)[sender].adoptedAt.IsZero() {
 			c.adoptions(real)[sender] = adoption{visibleSince: laterOf(at, c.published)}
 		}
 	}
 }
 
-// heard notes that the list of a hollow sender's module holds a change.
-func (b *tracker) recordSimulatedAdoption(n, sender int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if n >= len(b.changes) {
+// recordSimulatedAdoption records that a change is in the list of a simulated sender's module.
+func (t *tracker) recordSimulatedAdoption(n, sender int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if n >= len(t.changes) {
 		return
 	}
-	f := b.changes[n].simulated[sender]
-	if f.adoptedAt.IsZero() && !f.visibleSince.IsZero() {
-		f.adoptedAt = time.Now()
-		b.changes[n].simulated[sender] = f
+	a := t.changes[n].simulated[sender]
+	if a.adoptedAt.IsZero() && !a.visibleSince.IsZero() {
+		a.adoptedAt = time.Now()
+		t.changes[n].simulated[sender] = a
 	}
 }
 
-// inForce tells whether a change is in force at a real sender.
-func (b *tracker) adopted(c *change, sender int) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// adopted reports whether a real sender has adopted a change.
+func (t *tracker) adopted(c *change, sender int) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	return !c.real[sender].adoptedAt.IsZero()
 }
 
-// over tells whether it is idle to wait for a change at a real sender: a later one of the same destination makes it moot, or its
-// time has long passed.
-func (b *tracker) obsolete(c *change, sender int) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// obsolete reports whether there is no point in waiting for a real sender to adopt a change: a later change of the same
+// destination has superseded it, or its time limit is long past.
+func (t *tracker) obsolete(c *change, sender int) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	return !c.latest || time.Since(c.real[sender].visibleSince) > maxChangeDelay+maxOutage
 }
 
-// delays are the times from when a change could be heard to when it was in force, from a change's number on, with those
-// that are not in force: late, where their time is over by then.
+// delayStats summarizes how long senders took to adopt changes, each from when the sender could learn of the change.
 type delayStats struct {
-	delaysMS   []float64 // ms
-	late       int       // in force after their time, or missing
-	missing    int       // not in force, and their time is over
-	pending    int       // not in force, their time is not over
-	superseded int       // overtaken before they were in force
+	delaysMS   []float64 // of adopted changes
+	late       int       // adopted after maxChangeDelay, or missing
+	missing    int       // not adopted within maxChangeDelay
+	pending    int       // not adopted, but still within maxChangeDelay
+	superseded int       // replaced by a later change before they were adopted
 	longest    time.Duration
 }
 
-func (b *tracker) changeDelays(from int, real bool, sender int, now time.Time) delayStats {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// allSenders stands for every sender where one sender's index is expected.
+const allSenders = -1
+
+// changeDelays returns the delays of the changes from number from on, at one real or simulated sender or, with
+// allSenders, at all of them.
+func (t *tracker) changeDelays(from int, real bool, sender int, now time.Time) delayStats {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var d delayStats
-	for _, c := range b.changes[min(from, len(b.changes)):] {
-		for s, f := range c.adoptions(real) {
+	for _, c := range t.changes[min(from, len(t.changes)):] {
+		for s, a := range c.adoptions(real) {
 			if sender >= 0 && s != sender {
 				continue
 			}
 			switch {
-			case !f.adoptedAt.IsZero():
-				took := max(0, f.adoptedAt.Sub(f.visibleSince))
+			case !a.adoptedAt.IsZero():
+				took := max(0, a.adoptedAt.Sub(a.visibleSince))
 				d.delaysMS = append(d.delaysMS, float64(took)/float64(time.Millisecond))
 				d.longest = max(d.longest, took)
 				if took > maxChangeDelay {
@@ -270,10 +295,10 @@
 				}
 			case !c.latest:
 				d.superseded++
-			case now.Sub(f.visibleSince) > maxChangeDelay:
+			case now.Sub(a.visibleSince) > maxChangeDelay:
 				d.late++
 				d.missing++
-				d.longest = max(d.longest, now.Sub(f.visibleSince))
+				d.longest = max(d.longest, now.Sub(a.visibleSince))
 			default:
 				d.pending++
 			}
@@ -282,28 +307,28 @@
 	return d
 }
 
-// lastForced is when the last change came in force that had been told by a time.
-func (b *tracker) lastAdoption(by time.Time) (last time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, c := range b.changes {
+// lastAdoption returns when the last of the changes that were published by a given time was adopted.
+func (t *tracker) lastAdoption(by time.Time) (last time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, c := range t.changes {
 		if c.published.After(by) {
 			continue
 		}
-		for _, of := range []map[int]adoption{c.real, c.simulated} {
-			for _, f := range of {
-				last = laterOf(last, f.adoptedAt)
+		for _, adoptions := range []map[int]adoption{c.real, c.simulated} {
+			for _, a := range adoptions {
+				last = laterOf(last, a.adoptedAt)
 			}
 		}
 	}
 	return last
 }
 
-// owed is how many messages were taken on and have no end yet.
-func (b *tracker) unfinished() (n int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, m := range b.messages {
+// unfinished returns how many accepted messages have neither a delivery nor a notice yet.
+func (t *tracker) unfinished() (n int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, m := range t.messages {
 		if m.accepted && m.firstDelivery.IsZero() && m.firstNotice.IsZero() {
 			n++
 		}
@@ -311,29 +336,29 @@
 	return n
 }
 
-// verdict is the judge's word on the messages so far.
+// verdict is the judge's finding on the messages so far.
 type verdict struct {
 	submitted, accepted, delivered, notified int
 	lost, duplicated, late, stale            int
 	longestDelay                             time.Duration
-	firstViolation                           string // break, in words
+	firstViolation                           string // described for the report
 }
 
-// judge says what became of the messages. Whatever is owed must have ended by now; excused tells until when a sender could not
-// end or tell of anything, which is when it was back.
-func (b *tracker) judge(excused func(sender int) time.Time) verdict {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	v := verdict{duplicated: len(b.duplicates)}
+// judge reports what became of the messages. Every accepted message must have ended by now. excusedUntil returns the
+// time until which a sender could neither end a message nor send a notice: when it, or its way to discovery, was back.
+func (t *tracker) judge(excusedUntil func(sender int) time.Time) verdict {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	v := verdict{duplicated: len(t.duplicates)}
 	note := func(format string, args ...any) {
 		if v.firstViolation == "" {
 			v.firstViolation = fmt.Sprintf(format, args...)
 		}
 	}
 	if v.duplicated > 0 {
-		note("%s ran twice and may not", b.duplicates[0])
+		note("%s ran twice and may not", t.duplicates[0])
 	}
-	for id, m := range b.messages {
+	for id, m := range t.messages {
 		v.submitted++
 		if !m.accepted {
 			continue
@@ -353,21 +378,21 @@
 				end = m.firstNotice
 			}
 		}
-		by := m.deadline.Add(deadlineGrace)
-		if back := excused(m.sender).Add(outageGrace); back.After(by) {
-			by = back
+		latestEnd := m.deadline.Add(deadlineGrace)
+		if back := excusedUntil(m.sender).Add(outageGrace); back.After(latestEnd) {
+			latestEnd = back
 		}
 		switch {
 		case end.IsZero():
 			v.lost++
 			note("%s was taken on and has no end", id)
-		case end.After(by):
+		case end.After(latestEnd):
 			v.late++
-			v.longestDelay = max(v.longestDelay, end.Sub(by))
-			note("%s ended %v after its time", id, end.Sub(by).Round(time.Millisecond))
+			v.longestDelay = max(v.longestDelay, end.Sub(latestEnd))
+			note("%s ended %v after its time", id, end.Sub(latestEnd).Round(time.Millisecond))
 		}
 	}
-	for _, c := range b.changes {
+	for _, c := range t.changes {
 		for s := range c.staleCalls {
 			v.stale++
 			note("sender %d made a call by the list before change %d after one by it", s, c.number)
--- a/lab/scale/tracker_test.go
+++ b/lab/scale/tracker_test.go
@@ -17,98 +17,114 @@
 
 func duration(d time.Duration) scenario.Duration { return scenario.Duration(d) }
 
-// The judge sees what it is there for: a message without an end, one that ran twice or ran and is said not to have, an end past its
-// time, a call by the old list. What was not taken on, what a killed sender could not tell in time, and a repeat that is allowed are no break.
-func TestTheJudge(t *testing.T) {
+// The judge reports a message without an end, one delivered twice or delivered and reported as undelivered, an end
+// after the deadline and a call by the old list. It doesn't report messages that were not accepted, ends that were late
+// because the sender was down, and repeats that are allowed.
+func TestJudge(t *testing.T) {
 	never := func(int) time.Time { return time.Time{} }
 	now := time.Now()
+	deliver := func(tr *tracker) { tr.recordCall("t-0-1-s", 0) }
+	deliverLate := func(tr *tracker) {
+		tr.messages["t-0-1-s"].deadline = now.Add(-time.Second)
+		tr.recordCall("t-0-1-s", 0)
+	}
 	for name, c := range map[string]struct {
-		play    func(b *tracker)
-		excused func(int) time.Time
-		want    verdict
-		says    string
+		play          func(tr *tracker)
+		excusedUntil  func(int) time.Time
+		want          verdict
+		wantViolation string
 	}{
-		"delivered":    {func(b *tracker) { b.recordCall("t-0-1-s", 0) }, never, verdict{delivered: 1}, ""},
-		"told":         {func(b *tracker) { b.recordNotice("t-0-1-s", "dead") }, never, verdict{notified: 1}, ""},
-		"lost":         {func(b *tracker) {}, never, verdict{lost: 1}, "t-0-1-s was taken on and has no end"},
-		"repeated":     {func(b *tracker) { b.recordCall("t-0-1-s", 0); b.recordCall("t-0-1-s", 0) }, never, verdict{delivered: 1}, ""},
-		"late":         {func(b *tracker) { b.messages["t-0-1-s"].deadline = now.Add(-time.Second); b.recordCall("t-0-1-s", 0) }, never, verdict{delivered: 1, late: 1}, "after its time"},
-		"late by kill": {func(b *tracker) { b.messages["t-0-1-s"].deadline = now.Add(-time.Second); b.recordCall("t-0-1-s", 0) }, func(int) time.Time { return now }, verdict{delivered: 1}, ""},
+		"delivered": {deliver, never, verdict{delivered: 1}, ""},
+		"notified": {
+			func(tr *tracker) { tr.recordNotice("t-0-1-s", "dead") }, never,
+			verdict{notified: 1}, "",
+		},
+		"lost": {func(tr *tracker) {}, never, verdict{lost: 1}, "t-0-1-s was taken on and has no end"},
+		"repeated": {
+			func(tr *tracker) { deliver(tr); deliver(tr) }, never,
+			verdict{delivered: 1}, "",
+		},
+		"late": {deliverLate, never, verdict{delivered: 1, late: 1}, "after its time"},
+		"late as the sender was down": {
+			deliverLate, func(int) time.Time { return now },
+			verdict{delivered: 1}, "",
+		},
 	} {
-		b := newTracker()
-		b.recordSubmission("t-0-1-s", message{deadline: now.Add(time.Minute)})
-		b.recordAnswer("t-0-1-s", true)
-		b.recordSubmission("t-0-2-o", message{atMostOnce: true, deadline: now}) // not taken on: nothing is owed
-		c.play(b)
-		v := b.judge(c.excused)
+		tr := newTracker()
+		tr.recordSubmission("t-0-1-s", message{deadline: now.Add(time.Minute)})
+		tr.recordAnswer("t-0-1-s", true)
+		tr.recordSubmission("t-0-2-o", message{atMostOnce: true, deadline: now}) // not accepted
+		c.play(tr)
+		v := tr.judge(c.excusedUntil)
 		v.longestDelay = 0
 		first := v.firstViolation
 		v.firstViolation = ""
 		c.want.submitted, c.want.accepted = 2, 1
-		if v != c.want || !strings.Contains(first, c.says) || (first == "") != (c.says == "") {
-			t.Errorf("%s: %+v %q, want %+v %q", name, v, first, c.want, c.says)
+		if v != c.want || !strings.Contains(first, c.wantViolation) || (first == "") != (c.wantViolation == "") {
+			t.Errorf("%s: %+v %q, want %+v %q", name, v, first, c.want, c.wantViolation)
 		}
 	}
-	b := newTracker()
+	tr := newTracker()
 	for _, id := range []string{"t-0-1-o", "t-0-2-o"} {
-		b.recordSubmission(id, message{atMostOnce: true, deadline: now.Add(time.Minute)})
-		b.recordAnswer(id, true)
+		tr.recordSubmission(id, message{atMostOnce: true, deadline: now.Add(time.Minute)})
+		tr.recordAnswer(id, true)
 	}
-	b.recordCall("t-0-1-o", 0)
-	b.recordCall("t-0-1-o", 0)
-	b.recordCall("t-0-2-o", 0)
-	b.recordNotice("t-0-2-o", "bounced")
-	if v := b.judge(never); v.duplicated != 2 || v.lost != 0 {
-		t.Errorf("ran twice, and ran and was told of as harmless: %+v", v)
+	tr.recordCall("t-0-1-o", 0)
+	tr.recordCall("t-0-1-o", 0)
+	tr.recordCall("t-0-2-o", 0)
+	tr.recordNotice("t-0-2-o", "bounced")
+	if v := tr.judge(never); v.duplicated != 2 || v.lost != 0 {
+		t.Errorf("one delivered twice, one delivered and reported as safe to submit again: %+v", v)
 	}
-	if b.unfinished() != 0 {
-		t.Error("nothing is owed")
+	if tr.unfinished() != 0 {
+		t.Errorf("%d messages are unfinished, want none", tr.unfinished())
 	}
 }
 
-// A change is timed from when its sender could hear of it; a call the old way after one by it is seen, unless it just crossed or a
-// later change made the old place the new one.
-func TestChangesAreTimed(t *testing.T) {
-	b := newTracker()
-	c := b.addChange(5)
-	b.markPublished(c)
+// The delay of a change counts from when the sender could learn of it. A call to the old endpoint after the adoption is
+// detected, unless it comes within the grace or a later change made that endpoint the new one again.
+func TestChangeDelays(t *testing.T) {
+	tr := newTracker()
+	c := tr.addChange(5)
+	tr.markPublished(c)
 	for s := range 3 {
-		b.markVisible(c, s, true, time.Time{})
-		b.markVisible(c, s, false, time.Time{})
-	}
-	b.recordCall(probeID(c.number, 0, 1), 1-c.side) // not by it yet
-	b.recordCall(probeID(c.number, 0, 2), c.side)
-	b.recordCall(probeID(c.number, 0, 3), 1-c.side) // crossed
-	b.recordSimulatedAdoption(c.number, 2)
-	if d := b.changeDelays(0, true, -1, time.Now()); len(d.delaysMS) != 1 || d.pending != 2 || d.late != 0 {
+		tr.markVisible(c, s, true, time.Time{})
+		tr.markVisible(c, s, false, time.Time{})
+	}
+	tr.recordCall(probeID(c.number, 0, 1), 1-c.side) // not adopted yet
+	tr.recordCall(probeID(c.number, 0, 2), c.side)
+	tr.recordCall(probeID(c.number, 0, 3), 1-c.side) // within the grace
+	tr.recordSimulatedAdoption(c.number, 2)
+	if d := tr.changeDelays(0, true, allSenders, time.Now()); len(d.delaysMS) != 1 || d.pending != 2 || d.late != 0 {
 		t.Errorf("real: %+v", d)
 	}
-	if d := b.changeDelays(0, false, 2, time.Now()); len(d.delaysMS) != 1 || d.pending != 0 {
-		t.Errorf("hollow: %+v", d)
+	if d := tr.changeDelays(0, false, 2, time.Now()); len(d.delaysMS) != 1 || d.pending != 0 {
+		t.Errorf("simulated: %+v", d)
 	}
 	later := time.Now().Add(maxChangeDelay + time.Second)
-	if d := b.changeDelays(0, true, -1, later); d.late != 2 || d.missing != 2 || d.longest < maxChangeDelay {
-		t.Errorf("past their time: %+v", d)
+	if d := tr.changeDelays(0, true, allSenders, later); d.late != 2 || d.missing != 2 || d.longest < maxChangeDelay {
+		t.Errorf("after the limit: %+v", d)
 	}
-	b.markReachable(1, true, later) // cut off until then
-	if d := b.changeDelays(0, true, -1, later); d.late != 1 || d.pending != 1 {
-		t.Errorf("past their time, one of them cut off: %+v", d)
+	tr.markReachable(1, true, later) // cut off until then
+	if d := tr.changeDelays(0, true, allSenders, later); d.late != 1 || d.pending != 1 {
+		t.Errorf("after the limit, one sender cut off until then: %+v", d)
 	}
-	b.recordProbe(c.number, 0, 1-c.side, time.Now().Add(2*staleGrace))
-	if v := b.judge(func(int) time.Time { return time.Time{} }); v.stale != 1 || !strings.Contains(v.firstViolation, "by the list before change 0") {
-		t.Errorf("the old way: %+v", v)
+	tr.recordProbe(c.number, 0, 1-c.side, time.Now().Add(2*staleGrace))
+	v := tr.judge(func(int) time.Time { return time.Time{} })
+	if v.stale != 1 || !strings.Contains(v.firstViolation, "by the list before change 0") {
+		t.Errorf("a call to the old endpoint: %+v", v)
 	}
-	again := b.addChange(5)
-	if again.side == c.side || c.latest || !b.obsolete(c, 1) {
+	again := tr.addChange(5)
+	if again.side == c.side || c.latest || !tr.obsolete(c, 1) {
 		t.Errorf("a later change of the same destination: %+v %+v", c, again)
 	}
-	if d := b.changeDelays(0, true, 1, time.Now()); d.superseded != 1 || d.pending != 0 {
-		t.Errorf("overtaken: %+v", d)
+	if d := tr.changeDelays(0, true, 1, time.Now()); d.superseded != 1 || d.pending != 0 {
+		t.Errorf("superseded: %+v", d)
 	}
 }
 
-// ask makes one request of a gate and returns its answer's body.
-func ask(t *testing.T, addr, target string) string {
+// get sends one request to a gateway and returns the body of its answer.
+func get(t *testing.T, addr, target string) string {
 	t.Helper()
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -123,29 +139,31 @@
 	return string(r.Body)
 }
 
-// Discovery tells what is new after a version; the whole list to who names none, one that is not known or one too old; and nothing
-// once the wait is over.
+// Discovery answers with the updates since a version, with the full list if the request names no version, an unknown
+// one or one that is too old, and with no updates when the wait is over.
 func TestDiscovery(t *testing.T) {
 	entry := func(host, health string) platform.Entry {
 		return platform.Entry{Host: host, Dial: "127.0.0.1:1", Health: health}
 	}
-	told := map[string]string{}
-	d := newDiscovery([]platform.Entry{entry("a", "Ready"), entry("b", "Ready")}, func(id, result string) { told[id] = result })
+	notices := map[string]string{}
+	d := newDiscovery([]platform.Entry{entry("a", "Ready"), entry("b", "Ready")}, func(id, result string) {
+		notices[id] = result
+	})
 	g, err := newGateway(d, "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer g.stop()
 	addr := g.srv.Addr()
-	check := func(after, wantSeq string, wantHosts ...string) {
+	check := func(query, wantPrefix string, wantParts ...string) {
 		t.Helper()
-		body := ask(t, addr, "/registry/instances"+after)
-		if !strings.HasPrefix(body, wantSeq) || strings.Count(body, `"host":`) != len(wantHosts) {
-			t.Errorf("%q: %s, want %s and %q", after, body, wantSeq, wantHosts)
+		body := get(t, addr, "/registry/instances"+query)
+		if !strings.HasPrefix(body, wantPrefix) || strings.Count(body, `"host":`) != len(wantParts) {
+			t.Errorf("%q: %s, want %s and %q", query, body, wantPrefix, wantParts)
 		}
-		for _, h := range wantHosts {
-			if !strings.Contains(body, h) {
-				t.Errorf("%q: %s, want %s", after, body, h)
+		for _, part := range wantParts {
+			if !strings.Contains(body, part) {
+				t.Errorf("%q: %s, want %s", query, body, part)
 			}
 		}
 	}
@@ -156,7 +174,7 @@
 	check("?after=1&wait_ms=0", `{"seq":3,"whole":false`, `"host":"a"`, `"host":"c"`, `"host":"b"`)
 	check("?after=2&wait_ms=0", `{"seq":3,"whole":false`, `"host":"b"`)
 	check("?after=3&wait_ms=1", `{"seq":3,"whole":false`)
-	check("?after=0&wait_ms=0", `{"seq":3,"whole":true`, `"host":"b"`, `"host":"c"`) // before the changes kept
+	check("?after=0&wait_ms=0", `{"seq":3,"whole":true`, `"host":"b"`, `"host":"c"`) // before the kept updates
 	check("?after=9&wait_ms=0", `{"seq":3,"whole":true`, `"host":"b"`, `"host":"c"`)
 	if c := g.counts(); c.calls != 7 || c.fullLists != 4 || c.sent == 0 || c.received == 0 {
 		t.Errorf("counted %+v", c)
@@ -168,20 +186,22 @@
 	defer nc.Close()
 	body := `{"ref":"m","result":"dead"}` + "\n"
 	fmt.Fprintf(nc, "POST /status HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	if r, err := http1.ReadResponse(bufio.NewReader(nc), 1<<10); err != nil || r.Status != 204 || told["m"] != "dead" {
-		t.Errorf("a notice: %+v, %v, %v", r, err, told)
+	r, err := http1.ReadResponse(bufio.NewReader(nc), 1<<10)
+	if err != nil || r.Status != 204 || notices["m"] != "dead" {
+		t.Errorf("a notice: %+v, %v, %v", r, err, notices)
 	}
 }
 
-// A gate that is cut says nothing and breaks what hung in it once it is back; one that is down refuses, and comes back at its address.
-func TestGates(t *testing.T) {
+// A gateway that is cut off answers nothing and closes the connections that hung when it is back. One that is down
+// refuses connections, and starts again at its address.
+func TestGateways(t *testing.T) {
 	d := newDiscovery([]platform.Entry{{Host: "a", Health: "Ready"}}, func(string, string) {})
-	site, err := claimAddresses(1)
+	addresses, err := claimAddresses(1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer site.claim.Close()
-	g, err := newGateway(d, site.gatewayIP+":20000")
+	defer addresses.claim.Close()
+	g, err := newGateway(d, addresses.gatewayIP+":20000")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -201,20 +221,22 @@
 	g.setCutOff(false)
 	nc.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if n, err := nc.Read(make([]byte, 1)); n > 0 || err == nil || strings.Contains(err.Error(), "timeout") {
-		t.Errorf("back after a cut: %d bytes, %v, want the end", n, err)
+		t.Errorf("after the end of the cut: %d bytes, %v, want the connection closed", n, err)
 	}
-	if !g.reachableSince().After(before) || !strings.Contains(ask(t, g.addr, "/registry/instances"), `"whole":true`) {
-		t.Error("it cannot be reached after the cut")
+	if !g.reachableSince().After(before) || !strings.Contains(get(t, g.addr, "/registry/instances"), `"whole":true`) {
+		t.Error("the gateway is not reachable after the end of the cut")
 	}
 	g.stop()
 	if nc, err := net.Dial("tcp", g.addr); err == nil {
 		nc.Close()
-		t.Error("a discovery that is away takes a connection")
+		t.Error("a stopped gateway accepts a connection")
 	}
 	if err := g.start(); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Eventually(t, "whole list", func() bool { return strings.Contains(ask(t, g.addr, "/registry/instances"), `"whole":true`) })
+	testkit.Eventually(t, "full list", func() bool {
+		return strings.Contains(get(t, g.addr, "/registry/instances"), `"whole":true`)
+	})
 	if g.counts().fullLists < 2 {
 		t.Errorf("counted %+v", g.counts())
 	}
