--- a/lab/scale/destinations.go
+++ b/lab/scale/destinations.go
@@ -15,8 +15,7 @@
 
 const zoneCount = 7
 
-// Of two listeners per zone, the first entries of the list use one; the endpoint that replaces another uses the other
-// one.
+// listenersPerZone is how many listeners a zone has: an endpoint that replaces another uses the other listener.
 const listenersPerZone = 2
 
 func zoneName(z int) string { return fmt.Sprint("z", z) }
--- a/lab/scale/event.go
+++ b/lab/scale/event.go
@@ -74,7 +74,7 @@
 		ok = env.sleep(endPollInterval)
 	}
 	if ok = ok && env.sleep(deadlineGrace); !ok && row.Failure == "" {
-		row.Failure = fmt.Sprint("broken off: ", context.Cause(env.ctx))
+		row.Failure = fmt.Sprint("interrupted: ", context.Cause(env.ctx))
 	}
 	for _, s := range env.senders {
 		if err := s.unexpectedExit(); err != nil {
