--- a/lab/live/connections.go
+++ b/lab/live/connections.go
@@ -1,5 +1,6 @@
-// This file owns the connections that senders open to endpoints: what is read off them, what the model makes of it, and the
-// answers. It must never be kinder than the model: what the model breaks is broken on the socket.
+// This file owns the connections that senders open to endpoints: it reads requests, passes them to the model and writes
+// the model's outcomes as responses. It must never be more lenient than the model: a connection that the model breaks
+// is reset on the socket, and a call that the model does not answer gets no response.
 
 package live
 
@@ -8,6 +9,7 @@
 	"bytes"
 	"encoding/json"
 	"net"
+	"net/http"
 	"strconv"
 	"strings"
 	"time"
@@ -19,102 +21,110 @@
 	"eiderhaven/rules"
 )
 
-func (v *Receivers) accept(ln net.Listener, ep *receiver.Endpoint, sender int) {
+// modelKeepAlive is longer than any run, so that the model never expires a connection: the sender closes it on the
+// socket.
+const modelKeepAlive = 24 * time.Hour
+
+func (r *Receivers) acceptConnections(ln net.Listener, ep *receiver.Endpoint, sender int) {
 	for {
 		nc, err := ln.Accept()
 		if err != nil {
 			return
 		}
-		v.mu.Lock()
-		v.conns[nc] = true
-		v.counts.Connections++
-		v.mu.Unlock()
-		v.wg.Go(func() {
+		r.mu.Lock()
+		r.conns[nc] = true
+		r.counts.Connections++
+		r.mu.Unlock()
+		r.wg.Go(func() {
 			defer func() {
 				nc.Close()
-				v.mu.Lock()
-				delete(v.conns, nc)
-				v.mu.Unlock()
+				r.mu.Lock()
+				delete(r.conns, nc)
+				r.mu.Unlock()
 			}()
-			v.serve(nc, ep, sender)
+			r.serveConnection(nc, ep, sender)
 		})
 	}
 }
 
-// request is one call as it came off a connection.
+// request is one request as read from a connection.
 type request struct {
 	head *http1.Request
 	body []byte
 }
 
-// serve plays one connection: the model says whether it is taken, and what becomes of each call.
-func (v *Receivers) serve(nc net.Conn, ep *receiver.Endpoint, sender int) {
-	pool := &network.Pool{KeepAlive: 24 * time.Hour}
+// serveConnection serves one connection until it ends. The model decides whether the connection is accepted, and the
+// outcome of each call.
+func (r *Receivers) serveConnection(nc net.Conn, ep *receiver.Endpoint, sender int) {
+	pool := &network.Pool{KeepAlive: modelKeepAlive}
 	var conn *network.Conn
-	var full, silent bool
-	reset := func() { // as a process that dies does
+	var limitReached, unresponsive bool
+	reset := func() { // as the kernel does for a process that died
 		if tc, ok := nc.(*net.TCPConn); ok {
-			_ = tc.SetLinger(0) // only makes the close abrupt
+			_ = tc.SetLinger(0) // makes the close a reset; without it the close is an orderly one
 		}
 		nc.Close()
 	}
-	ok := v.loop.Do(func() {
-		if conn, full, silent = ep.Connect(pool, v.loop.Queue.Now()); conn != nil {
+	ok := r.loop.Do(func() {
+		conn, limitReached, unresponsive = ep.Connect(pool, r.loop.Queue.Now())
+		if conn != nil {
 			conn.OnClose = reset
 		}
-		if v.watch != nil {
-			v.watch.ConnectionOpened(sender, ep, conn != nil || silent)
+		if r.watcher != nil {
+			r.watcher.ConnectionOpened(sender, ep, conn != nil || unresponsive)
 		}
 	})
 	if !ok {
 		return
 	}
-	if conn == nil && !full && !silent {
-		v.count(func(c *Counts) { c.ConnectionsRefused++ })
+	if conn == nil && !limitReached && !unresponsive {
+		r.updateCounts(func(c *Counts) { c.ConnectionsRefused++ })
 		reset()
 		return
 	}
 	requests := make(chan request)
 	stop := make(chan struct{})
 	defer close(stop)
-	v.wg.Go(func() { read(nc, requests, stop) })
+	r.wg.Go(func() { readRequests(nc, requests, stop) })
 	defer func() {
 		if conn != nil {
-			v.loop.Do(func() { conn.OnClose = nil; conn.Close() })
+			r.loop.Do(func() { conn.OnClose = nil; conn.Close() })
 		}
 	}()
 	unread := false
 	defer func() {
-		if unread && v.watch != nil {
-			v.loop.Do(func() { v.watch.CallAbandoned(sender, ep, nil) })
+		if unread && r.watcher != nil {
+			r.loop.Do(func() { r.watcher.CallAbandoned(sender, ep, nil) })
 		}
 	}()
-	for r := range requests {
-		if silent { // it came up while the machine was away: nobody reads
+	for req := range requests {
+		if unresponsive { // the connection was opened while the endpoint was unresponsive: the model receives nothing
 			unread = true
 			continue
 		}
-		if full {
-			v.count(func(c *Counts) { c.ConnectionsRefused++ })
-			_, _ = nc.Write(http1.AppendResponse(nil, 503, http1.Header{{Name: "Connection", Value: "close"}}, nil))
+		if limitReached {
+			r.updateCounts(func(c *Counts) { c.ConnectionsRefused++ })
+			closing := http1.Header{{Name: "Connection", Value: "close"}}
+			_, _ = nc.Write(http1.AppendResponse(nil, http.StatusServiceUnavailable, closing, nil))
 			return
 		}
-		answer := v.call(ep, conn, sender, r, requests)
-		if answer == nil {
+		response := r.handleRequest(ep, conn, sender, req, requests)
+		if response == nil {
 			continue
 		}
-		if len(answer) == 0 {
+		if len(response) == 0 {
 			reset()
 			return
 		}
-		if _, err := nc.Write(answer); err != nil || r.head.Close {
+		if _, err := nc.Write(response); err != nil || req.head.Close {
 			return
 		}
 	}
 }
 
-// read takes requests off a connection until it ends, and then closes the channel: so a caller that gives up is seen.
-func read(nc net.Conn, requests chan<- request, stop <-chan struct{}) {
+// readRequests reads requests from a connection until it ends, and then closes the channel, so that handleRequest
+// notices a sender that closes its connection during a call.
+func readRequests(nc net.Conn, requests chan<- request, stop <-chan struct{}) {
 	defer close(requests)
 	br := bufio.NewReader(nc)
 	for {
@@ -134,105 +144,105 @@
 	}
 }
 
-// call hands a request to the model and waits for its outcome. nil: no answer, the connection stays; empty: break it.
-func (v *Receivers) call(ep *receiver.Endpoint, conn *network.Conn, sender int, r request, more <-chan request) []byte {
-	if r.head.Method == "GET" && r.head.Target == "/health/live" {
-		healthy := false
-		v.loop.Do(func() { healthy = ep.Healthy() })
-		return status(map[bool]int{true: 200, false: 503}[healthy], nil)
+// handleRequest passes a call to the model, waits for its outcome and returns the response. A nil response means that
+// none is sent and the connection stays open; an empty one means that the connection is to be reset.
+func (r *Receivers) handleRequest(ep *receiver.Endpoint, conn *network.Conn, sender int, req request,
+	following <-chan request) []byte {
+	if req.head.Method == "GET" && req.head.Target == "/health/live" {
+		return r.healthResponse(ep)
 	}
-	c := v.parse(r)
+	c := r.parseCall(req)
 	if c == nil {
-		return status(400, nil)
+		return emptyResponse(http.StatusBadRequest, nil)
 	}
 	c.Sender = sender
 	outcome := make(chan model.Outcome, 1)
 	c.Done = func(o model.Outcome) {
-		if v.watch != nil {
-			v.watch.CallAnswered(sender, ep, c, o)
+		if r.watcher != nil {
+			r.watcher.CallAnswered(sender, ep, c, o)
 		}
 		outcome <- o
 	}
-	came := time.Now()
-	if !v.loop.Do(func() {
-		v.waited(time.Since(came))
-		c.Sent = v.loop.Queue.Now()
-		if v.watch != nil {
-			v.watch.CallReceived(sender, ep, c)
+	readAt := time.Now()
+	if !r.loop.Do(func() {
+		r.recordLag(time.Since(readAt))
+		c.Sent = r.loop.Queue.Now()
+		if r.watcher != nil {
+			r.watcher.CallReceived(sender, ep, c)
 		}
 		ep.Receive(c, conn)
 	}) {
 		return []byte{}
 	}
-	v.count(func(n *Counts) { n.Calls++ })
+	r.updateCounts(func(n *Counts) { n.Calls++ })
 	select {
 	case o := <-outcome:
-		return v.answer(ep, c, o)
-	case _, open := <-more: // the caller closed, or sent what it must not
+		return r.buildResponse(c, o)
+	case _, open := <-following: // the sender closed the connection, or sent a request before it had the response
 		if !open {
-			v.loop.Do(func() {
+			r.loop.Do(func() {
 				c.Abandoned = true
 				ep.CallAbandoned(c)
-				if v.watch != nil {
-					v.watch.CallAbandoned(sender, ep, c)
+				if r.watcher != nil {
+					r.watcher.CallAbandoned(sender, ep, c)
 				}
 			})
-			v.count(func(n *Counts) { n.Outcomes["given up"]++ })
+			r.updateCounts(func(n *Counts) { n.Outcomes["given up"]++ })
 		}
 		return []byte{}
 	}
 }
 
-// waited notes how long a call has waited for the loop.
-func (v *Receivers) waited(d time.Duration) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.lag = max(v.lag, d)
+func (r *Receivers) healthResponse(ep *receiver.Endpoint) []byte {
+	healthy := false
+	r.loop.Do(func() { healthy = ep.Healthy() })
+	if healthy {
+		return emptyResponse(http.StatusOK, nil)
+	}
+	return emptyResponse(http.StatusServiceUnavailable, nil)
+}
+
+// recordLag records how long a call waited for the loop.
+func (r *Receivers) recordLag(d time.Duration) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.maxLag = max(r.maxLag, d)
 }
 
-// Lag is the longest that a call has waited until the receivers took it in. What waits across the end of an outage counts as
-// sent after it: a break with a lag of many milliseconds may be this machine's doing.
-func (v *Receivers) MaxLag() time.Duration {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return v.lag
+// MaxLag returns the longest time from a call's arrival until the model received it. A call that waits across the end
+// of an outage counts as sent after it, so with a lag of many milliseconds a violation may be caused by this machine's
+// load.
+func (r *Receivers) MaxLag() time.Duration {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.maxLag
 }
 
-// parse reads the messages of a call. A name that load made tells the class; any other message counts as of the first.
-func (v *Receivers) parse(r request) *model.Call {
+// parseCall reads the messages of a call, nil if it is malformed. An ID made by Load holds the message's class; any
+// other message belongs to the first class.
+func (r *Receivers) parseCall(req request) *model.Call {
+	if req.head.Method != "POST" {
+		return nil
+	}
 	c := &model.Call{}
 	add := func(id string) {
-		first, class := identity(id)
-		if class >= len(v.s.Classes) {
+		firstTry, class := parseMessageID(id)
+		if class >= len(r.scenario.Classes) {
 			class = 0
 		}
-		c.Messages = append(c.Messages, &model.Message{ID: rules.MessageID(id), FirstTry: first, Class: class})
+		c.Messages = append(c.Messages, &model.Message{ID: rules.MessageID(id), FirstTry: firstTry, Class: class})
 		c.Attempts = append(c.Attempts, 0)
 	}
-	if r.head.Method != "POST" {
-		return nil
-	}
-	switch r.head.Target {
+	switch req.head.Target {
 	case "/receive":
-		id := r.head.Header.Get("Req-Id")
+		id := req.head.Header.Get("Req-Id")
 		if id == "" {
 			return nil
 		}
 		add(id)
 	case "/receive-many":
-		body := r.body
-		for len(body) > 0 {
-			line, rest, ok := bytes.Cut(body, []byte("\r\n"))
-			words := strings.Fields(string(line))
-			if !ok || len(words) != 3 {
-				return nil
-			}
-			n, err := strconv.Atoi(words[2])
-			if err != nil || n < 0 || n+2 > len(rest) {
-				return nil
-			}
-			add(words[0])
-			body = rest[n+2:]
+		if !parseBatch(req.body, add) {
+			return nil
 		}
 	}
 	if len(c.Messages) == 0 {
@@ -241,14 +251,36 @@
 	return c
 }
 
-func (v *Receivers) answer(ep *receiver.Endpoint, c *model.Call, o model.Outcome) []byte {
-	v.count(func(n *Counts) { n.Outcomes[outcomeName(o)]++ })
+// parseBatch calls add with the ID of each message of a batch. A message is a line of three words, the first its ID and
+// the last the length of its body, then the body and CRLF. It returns false for a malformed batch.
+func parseBatch(batch []byte, add func(id string)) bool {
+	const lineEnd = "\r\n"
+	for len(batch) > 0 {
+		line, rest, ok := bytes.Cut(batch, []byte(lineEnd))
+		words := strings.Fields(string(line))
+		if !ok || len(words) != 3 {
+			return false
+		}
+		length, err := strconv.Atoi(words[2])
+		if err != nil || length < 0 || length+len(lineEnd) > len(rest) {
+			return false
+		}
+		add(words[0])
+		batch = rest[length+len(lineEnd):]
+	}
+	return true
+}
+
+// buildResponse returns the response for an outcome, in the form that handleRequest returns.
+func (r *Receivers) buildResponse(c *model.Call, o model.Outcome) []byte {
+	r.updateCounts(func(n *Counts) { n.Outcomes[outcomeName(o)]++ })
 	if o.NoAnswer {
 		return nil
 	}
 	var fields http1.Header
 	if o.Report.Limit > 0 {
-		text, _ := json.Marshal(map[string]float64{"x0": o.Report.Remaining, "x1": o.Report.Limit}) // plain values always encode
+		load := map[string]float64{"x0": o.Report.Remaining, "x1": o.Report.Limit}
+		text, _ := json.Marshal(load) // encoding finite numbers never fails
 		fields = append(fields, http1.Field{Name: "Srv-Load", Value: string(text)})
 	}
 	switch o.Result {
@@ -259,18 +291,21 @@
 				body = append(body, string(m.ID)+" accepted\r\n"...)
 			}
 		}
-		return http1.AppendResponse(nil, 200, fields, body)
+		return http1.AppendResponse(nil, http.StatusOK, fields, body)
 	case rules.Errored:
-		return status(500, fields)
+		return emptyResponse(http.StatusInternalServerError, fields)
 	case rules.Refused:
 		if o.RetryAfter > 0 {
-			return status(429, append(fields, http1.Field{Name: "Wait-Ms", Value: strconv.FormatInt(o.RetryAfter.Milliseconds()+1, 10)}))
+			waitMs := o.RetryAfter.Milliseconds() + 1 // rounded up, so that it is not shorter than the model's
+			fields = append(fields, http1.Field{Name: "Wait-Ms", Value: strconv.FormatInt(waitMs, 10)})
+			return emptyResponse(http.StatusTooManyRequests, fields)
 		}
-		return status(503, fields)
+		return emptyResponse(http.StatusServiceUnavailable, fields)
 	}
 	return []byte{}
 }
 
+// outcomeName returns the key of an outcome in Counts.Outcomes.
 func outcomeName(o model.Outcome) string {
 	if o.NoAnswer {
 		return "served, answer lost"
@@ -286,6 +321,6 @@
 	return "reset"
 }
 
-func status(code int, fields http1.Header) []byte {
-	return http1.AppendResponse(nil, code, fields, nil)
+func emptyResponse(status int, fields http1.Header) []byte {
+	return http1.AppendResponse(nil, status, fields, nil)
 }
--- a/lab/live/live_test.go
+++ b/lab/live/live_test.go
@@ -23,7 +23,7 @@
 	"eiderhaven/lab/world"
 )
 
-func load(t *testing.T, path string, set ...string) *scenario.Scenario {
+func loadScenario(t *testing.T, path string, set ...string) *scenario.Scenario {
 	t.Helper()
 	s, err := scenario.Load(path)
 	for i := 0; i < len(set) && err == nil; i += 2 {
@@ -35,10 +35,10 @@
 	return s
 }
 
-// TestTheConfigurationTellsWhatTheModelIsTold holds the daemon's settings and the model's together.
-func TestTheConfigurationTellsWhatTheModelIsTold(t *testing.T) {
-	for _, day := range []string{"mixed", "calm", "fleet"} {
-		s := load(t, "../scenarios/"+day+".toml")
+// The daemon decodes the configuration into the same settings that the model gives its senders.
+func TestConfigMatchesModelSettings(t *testing.T) {
+	for _, name := range []string{"mixed", "calm", "fleet"} {
+		s := loadScenario(t, "../scenarios/"+name+".toml")
 		text, err := Config(s, "n1", "127.0.0.1:1", "127.0.0.1:2")
 		if err != nil {
 			t.Fatal(err)
@@ -53,22 +53,22 @@
 		}
 		want := world.Settings(s, 0)
 		if diff := cmp.Diff(want, *got); diff != "" {
-			t.Errorf("%s: settings differ:\n%s", day, diff)
+			t.Errorf("%s: settings differ:\n%s", name, diff)
 		}
 		if len(names.Zones) != s.Senders.Zones || len(names.Classes) != len(s.Classes) {
-			t.Errorf("%s: names %+v", day, names)
+			t.Errorf("%s: names %+v", name, names)
 		}
 	}
 }
 
-// TestADaemonUnderLoad runs the real daemon between load and receivers while partners crash, answer slowly, lose answers and
-// are replaced: everything that was taken ends exactly once, and no payment takes effect twice.
-func TestADaemonUnderLoad(t *testing.T) {
+// The real daemon runs between load and receivers while endpoints crash, refuse, lose answers and are replaced: every
+// accepted message finishes, and no message of an at-most-once class takes effect twice.
+func TestDaemonUnderLoad(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "eiderhaven")
 	if out, err := exec.Command("go", "build", "-o", binary, "eiderhaven/cmd/eiderhaven").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	s, err := scenario.Parse("live", []byte(liveDay))
+	s, err := scenario.Parse("live", []byte(daemonScenario))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -82,26 +82,29 @@
 	t.Cleanup(func() { stop(); testkit.Receive(t, ended, "end of the receivers") })
 	addr := startDaemon(t, binary, s, receivers.DiscoveryAddr())
 
-	loader, err := NewLoad(s, LoadOptions{Targets: []string{addr}, Seed: 4, IDPrefix: "t", BodyBytes: 64, AnswerTimeout: 2 * time.Second})
+	load, err := NewLoad(s, LoadOptions{
+		Targets: []string{addr}, Seed: 4, IDPrefix: "t", BodyBytes: 64, AnswerTimeout: 2 * time.Second,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := loader.Run(context.Background())
+	r := load.Run(context.Background())
 	if r.Accepted < r.FirstTries/2 || r.FirstTries < 200 {
-		t.Fatalf("%d of %d taken: too few to tell anything", r.Accepted, r.FirstTries)
+		t.Fatalf("%d of %d messages accepted: too few for this test", r.Accepted, r.FirstTries)
 	}
-	testkit.Eventually(t, "did everything taken end", func() bool {
-		done := receivers.FinishedIDs()
+	testkit.Eventually(t, "did every accepted message finish", func() bool {
+		finished := receivers.FinishedIDs()
 		for _, id := range r.AcceptedIDs {
-			if !done[id] {
+			if !finished[id] {
 				return false
 			}
 		}
 		return true
 	})
 	n := receivers.Counts()
-	if n.DuplicateEffects > 0 || n.Messages == 0 || n.Outcomes["turned away"]+n.Outcomes["reset"]+n.Outcomes["served, answer lost"] == 0 {
-		t.Errorf("%+v: payments doubled, or no trouble was met", n)
+	failures := n.Outcomes["turned away"] + n.Outcomes["reset"] + n.Outcomes["served, answer lost"]
+	if n.DuplicateEffects > 0 || n.Messages == 0 || failures == 0 {
+		t.Errorf("%+v: payments took effect twice, or no fault was met", n)
 	}
 	t.Logf("load %+v\nreceivers %+v", r.ByStatus, n)
 }
@@ -126,7 +129,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		_ = daemon.Process.Signal(syscall.SIGTERM) // Wait tells if it did not end well
+		_ = daemon.Process.Signal(syscall.SIGTERM) // Wait reports if it did not exit cleanly
 		if err := daemon.Wait(); err != nil {
 			t.Errorf("daemon: %v\n%s", err, &log)
 		}
@@ -137,13 +140,13 @@
 			return false
 		}
 		defer resp.Body.Close()
-		_, _ = io.Copy(io.Discard, resp.Body) // only the status counts
+		_, _ = io.Copy(io.Discard, resp.Body) // only the status matters
 		return resp.StatusCode == 200
 	})
 	return addr
 }
 
-const liveDay = `
+const daemonScenario = `
 version = 1
 name = "live"
 [run]
@@ -204,13 +207,14 @@
 size = 2
 `
 
-// TestAStalledSenderCannotHideItsTimes has a sender that answers nothing for half a second: requests go on being begun, and
-// their times count from when they were planned.
-func TestAStalledSenderCannotHideItsTimes(t *testing.T) {
-	begun := time.Now()
+// A sender that answers nothing for 700 ms does not delay the requests that are planned meanwhile, and their latency
+// counts from their planned time, so that the stall shows in the figures.
+func TestLatencyIncludesSenderStall(t *testing.T) {
+	const stallEnd = 700 * time.Millisecond // after the server's start
+	started := time.Now()
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if at := time.Since(begun); at < 700*time.Millisecond {
-			time.Sleep(700*time.Millisecond - at) // the stall
+		if elapsed := time.Since(started); elapsed < stallEnd {
+			time.Sleep(stallEnd - elapsed)
 		}
 		w.WriteHeader(http.StatusAccepted)
 	})}
@@ -220,25 +224,29 @@
 	}
 	go func() { _ = server.Serve(ln) }() // ends with Close
 	t.Cleanup(func() { server.Close() })
-	s := load(t, "../scenarios/calm.toml", "run.length", "1s", "traffic.rate", "200", "traffic.clumps", "0")
-	loader, err := NewLoad(s, LoadOptions{Targets: []string{ln.Addr().String()}, Seed: 1, MaxConns: 4, AnswerTimeout: 3 * time.Second})
+	s := loadScenario(t, "../scenarios/calm.toml", "run.length", "1s", "traffic.rate", "200", "traffic.clumps", "0")
+	load, err := NewLoad(s, LoadOptions{
+		Targets: []string{ln.Addr().String()}, Seed: 1, MaxConns: 4, AnswerTimeout: 3 * time.Second,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := loader.Run(context.Background())
+	r := load.Run(context.Background())
 	if r.FirstTries < 120 || r.NoAnswer > 0 || r.Accepted != r.FirstTries {
-		t.Fatalf("%d handed in, %d taken, %d unheard; want all of about 200 taken", r.FirstTries, r.Accepted, r.NoAnswer)
+		t.Fatalf("%d submitted, %d accepted, %d without an answer; want about 200, all of them accepted",
+			r.FirstTries, r.Accepted, r.NoAnswer)
 	}
-	// With a closed loop over four connections only four requests would have seen the stall, and the median none of it.
+	// A closed loop over four connections would have stalled only four requests, and the median would not show it.
 	if r.P50 < 20 {
 		t.Errorf("median %.1f ms: the stall of 700 ms does not show", r.P50)
 	}
 }
 
-func TestLoadGoesToThisMachineOnly(t *testing.T) {
-	s := load(t, "../scenarios/calm.toml")
+func TestLoadRefusesNonLoopbackTargets(t *testing.T) {
+	s := loadScenario(t, "../scenarios/calm.toml")
 	for _, addr := range []string{"192.0.2.1:80", "example.org:80", "127.0.0.1"} {
-		if _, err := NewLoad(s, LoadOptions{Targets: []string{addr}}); err == nil || !strings.Contains(err.Error(), "expected") {
+		_, err := NewLoad(s, LoadOptions{Targets: []string{addr}})
+		if err == nil || !strings.Contains(err.Error(), "expected") {
 			t.Errorf("target %s: %v, want it refused", addr, err)
 		}
 	}
--- a/lab/live/load.go
+++ b/lab/live/load.go
@@ -1,5 +1,6 @@
-// This file owns the clients' side: an open-loop schedule on sockets. A late answer delays no later request, and a request's
-// time counts from when it was planned, so that a sender that stalls cannot hide it.
+// This file owns the clients' side: an open-loop schedule on sockets. A late response must never delay a later request,
+// and a request's latency counts from its planned time, so that a stalled sender cannot hide its delays (coordinated
+// omission).
 
 package live
 
@@ -10,6 +11,7 @@
 	"fmt"
 	"hash/fnv"
 	"net"
+	"net/http"
 	"os"
 	"strconv"
 	"strings"
@@ -20,25 +22,26 @@
 
 	"eiderhaven/internal/http1"
 	"eiderhaven/lab/client"
+	"eiderhaven/lab/clock"
 	"eiderhaven/lab/model"
 	"eiderhaven/lab/receiver"
 	"eiderhaven/lab/scenario"
 	"eiderhaven/lab/trouble"
 )
 
-// LoadOptions are what a load is given beside its scenario.
+// LoadOptions configure a load beside its scenario.
 type LoadOptions struct {
 	Targets       []string // addresses of senders; sender i of the scenario is target i modulo their number
 	Seed          uint64
-	IDPrefix      string        // part of the messages' names, so that two loads do not share any
-	BodyBytes     int           // bytes of a message
-	MaxConns      int           // connections to one target at most; 0: 256
-	AnswerTimeout time.Duration // for an answer; 0: 400 ms, as the platform's clients wait
+	IDPrefix      string        // of message IDs, to tell loads apart; empty: taken from the current time
+	BodyBytes     int           // size of a message's body
+	MaxConns      int           // connections to one target; 0: 256
+	AnswerTimeout time.Duration // from a request's planned time; 0: 400 ms, as the platform's clients wait
 	Log           func(string)
-	OnRequestEnd  func(RequestRecord) // told of each request once it is over; may be called by several at once
+	OnRequestEnd  func(RequestRecord) // called once for each finished request, concurrently; may be nil
 }
 
-// Handed is one request and what came of it.
+// RequestRecord is one request and its result.
 type RequestRecord struct {
 	Sender   int
 	ID       string
@@ -46,23 +49,24 @@
 	Deadline time.Time // of the message
 	Begun    time.Time
 	Over     time.Time
-	Status   int  // 0: no answer
+	Status   int  // 0: no response
 	TimedOut bool // the client stopped waiting
 	Written  bool // the whole request was written
 }
 
-// LoadWindow is a second of a load.
+// LoadWindow holds the requests that were due in one second of a load.
 type LoadWindow struct {
-	Planned  int     `json:"planned"` // requests that fell due
+	Planned  int     `json:"planned"`
 	Accepted int     `json:"taken"`
 	Refused  int     `json:"refused"`
-	Failed   int     `json:"failed"`  // any other answer
-	NoAnswer int     `json:"unheard"` // none in time, or a broken connection
+	Failed   int     `json:"failed"`  // any other response
+	NoAnswer int     `json:"unheard"` // no response in time, or a broken connection
 	P50      float64 `json:"p50_ms"`
 	P99      float64 `json:"p99_ms"`
 }
 
-// LoadResult is what came of a load.
+// LoadResult holds the totals of a load. Latencies count from the planned time to the response, over all requests that
+// got one, in milliseconds.
 type LoadResult struct {
 	Seconds           float64        `json:"seconds"`
 	FirstTries        int            `json:"first_tries"`
@@ -73,81 +77,104 @@
 	NoAnswer          int            `json:"unheard"`
 	ByStatus          map[string]int `json:"by_status"`
 	ConnectionsOpened int            `json:"connections_opened"`
-	P50               float64        `json:"p50_ms"` // from the planned time to the answer, of all that were answered
+	P50               float64        `json:"p50_ms"`
 	P90               float64        `json:"p90_ms"`
 	P99               float64        `json:"p99_ms"`
 	P999              float64        `json:"p999_ms"`
 	Max               float64        `json:"max_ms"`
-	StartDelayP99     float64        `json:"start_p99_ms"` // how late requests were begun: this program's own doing
+	StartDelayP99     float64        `json:"start_p99_ms"` // from planned to started: caused by this program, in ms
 	Series            []LoadWindow   `json:"series"`
-	AcceptedIDs       []string       `json:"-"` // names of what was taken
+	AcceptedIDs       []string       `json:"-"` // of messages
 }
 
 const (
-	defaultConns  = 256
-	defaultAnswer = 400 * time.Millisecond
-	longestMicros = int64(10 * time.Minute / time.Microsecond)
-	lingerAfter   = 2 * time.Second // for answers after the last request
+	defaultMaxConns      = 256
+	defaultAnswerTimeout = 400 * time.Millisecond
+	answerGrace          = 2 * time.Second // for responses after the last request
+	maxRetryAfterSeconds = 3600
+	maxResponseBody      = 64 << 10 // bytes
+	stopEventActor       = 1000     // above the actor number of troubles, so that the stop comes after them
+
+	// Histograms: the largest latency, and the significant digits kept for a whole load and for one second of it.
+	maxLatencyMicros    = int64(10 * time.Minute / time.Microsecond)
+	latencyDigits       = 3
+	windowLatencyDigits = 2
 )
 
-// Load hands a scenario's messages in.
+// Load submits a scenario's messages.
 type Load struct {
-	s       *scenario.Scenario
-	o       LoadOptions
-	loop    *Loop
-	crowd   *client.LoadGenerator
-	targets []*target
-	wg      sync.WaitGroup
-
-	mu     sync.Mutex
-	r      LoadResult
-	all    *hdrhistogram.Histogram
-	late   *hdrhistogram.Histogram
-	second []*hdrhistogram.Histogram
+	scenario *scenario.Scenario
+	opts     LoadOptions
+	loop     *Loop
+	clients  *client.LoadGenerator
+	targets  []*target
+	wg       sync.WaitGroup
+
+	mu              sync.Mutex
+	result          LoadResult
+	latency         *hdrhistogram.Histogram
+	startDelay      *hdrhistogram.Histogram
+	latencyBySecond []*hdrhistogram.Histogram
 }
 
-// target is a sender: its idle connections, and leave for more.
+// target is a sender with the connections to it.
 type target struct {
-	addr string
-	idle chan net.Conn
-	room chan struct{}
+	addr      string
+	idle      chan net.Conn
+	connSlots chan struct{} // a semaphore: one element for each open connection
 }
 
 // NewLoad prepares a load.
 func NewLoad(s *scenario.Scenario, o LoadOptions) (*Load, error) {
 	if len(o.Targets) == 0 {
-		return nil, errors.New("a load needs the address of a sender at least")
+		return nil, errors.New("a load needs the address of at least one sender")
 	}
 	if o.MaxConns <= 0 {
-		o.MaxConns = defaultConns
+		o.MaxConns = defaultMaxConns
 	}
 	if o.AnswerTimeout <= 0 {
-		o.AnswerTimeout = defaultAnswer
+		o.AnswerTimeout = defaultAnswerTimeout
 	}
 	if o.IDPrefix == "" {
 		o.IDPrefix = strconv.FormatInt(time.Now().UnixMilli()%1e9, 36)
 	}
-	l := &Load{s: s, o: o, loop: NewLoop(), all: hdrhistogram.New(1, longestMicros, 3), late: hdrhistogram.New(1, longestMicros, 3)}
-	l.r.ByStatus = map[string]int{}
+	l := &Load{
+		scenario:   s,
+		opts:       o,
+		loop:       NewLoop(),
+		latency:    hdrhistogram.New(1, maxLatencyMicros, latencyDigits),
+		startDelay: hdrhistogram.New(1, maxLatencyMicros, latencyDigits),
+	}
+	l.result.ByStatus = map[string]int{}
 	for _, addr := range o.Targets {
-		if err := loopback(addr); err != nil {
+		if err := checkLoopback(addr); err != nil {
 			return nil, err
 		}
-		l.targets = append(l.targets, &target{addr: addr, idle: make(chan net.Conn, o.MaxConns), room: make(chan struct{}, o.MaxConns)})
+		l.targets = append(l.targets, &target{
+			addr:      addr,
+			idle:      make(chan net.Conn, o.MaxConns),
+			connSlots: make(chan struct{}, o.MaxConns),
+		})
 	}
-	l.crowd = client.New(s, o.Seed, &l.loop.Queue, (*door)(l), (*books)(l))
-	st := &trouble.Environment{Scenario: playableByClients(s), Queue: &l.loop.Queue, Clients: l.crowd, Weights: s.DestinationWeights(),
-		Units: unitsOf(s), Log: func(format string, args ...any) {
+	l.clients = client.New(s, o.Seed, &l.loop.Queue, (*submitter)(l), (*tryCounter)(l))
+	env := &trouble.Environment{
+		Scenario: withClientTroubles(s),
+		Queue:    &l.loop.Queue,
+		Clients:  l.clients,
+		Weights:  s.DestinationWeights(),
+		Units:    placeholderUnits(s),
+		Log: func(format string, args ...any) {
 			if o.Log != nil {
 				o.Log(fmt.Sprintf("%8.3fs ", l.loop.Queue.Now().Seconds()) + fmt.Sprintf(format, args...))
 			}
-		}}
-	st.Schedule(o.Seed)
+		},
+	}
+	env.Schedule(o.Seed)
 	return l, nil
 }
 
-// loopback refuses a target that is not on this machine: an open-loop load is no guest elsewhere.
-func loopback(addr string) error {
+// checkLoopback refuses a target on another machine: an open-loop load does not slow down when a server is overloaded.
+func checkLoopback(addr string) error {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
 		return fmt.Errorf("target %q: expected ADDRESS:PORT: %w", addr, err)
@@ -158,20 +185,21 @@
 	return nil
 }
 
-// playableByClients keeps the troubles that clients play.
-func playableByClients(s *scenario.Scenario) *scenario.Scenario {
+// withClientTroubles returns the scenario with only the troubles that clients play.
+func withClientTroubles(s *scenario.Scenario) *scenario.Scenario {
 	out := *s
 	out.Troubles = nil
 	for _, t := range s.Troubles {
-		if !onReceivers(t) && t.Kind != "restart" {
+		if !playedByReceivers(t) && t.Kind != "restart" {
 			out.Troubles = append(out.Troubles, t)
 		}
 	}
 	return &out
 }
 
-// unitsOf lists destinations as troubles choose among them; nothing is behind these.
-func unitsOf(s *scenario.Scenario) func() []*receiver.Unit {
+// placeholderUnits returns a unit with one endpoint for each destination. Troubles of clients choose destinations among
+// units; nothing is sent to these.
+func placeholderUnits(s *scenario.Scenario) func() []*receiver.Unit {
 	var units []*receiver.Unit
 	dest := 0
 	for k, kind := range s.Kinds {
@@ -185,32 +213,42 @@
 	return func() []*receiver.Unit { return units }
 }
 
-// Run hands everything in, waits for the answers, and reckons up.
+// Run submits all messages, waits for the responses and returns the totals.
 func (l *Load) Run(ctx context.Context) *LoadResult {
-	length := l.s.Run.Length.D()
-	ctx, stop := context.WithTimeout(ctx, length+lingerAfter)
+	length := l.scenario.Run.Length.D()
+	ctx, stop := context.WithTimeout(ctx, length+answerGrace)
 	defer stop()
-	began := time.Now()
-	l.loop.Queue.NewScheduler(0, 1000).At(length+lingerAfter/2, stop)
-	l.crowd.Start()
+	started := time.Now()
+	l.loop.Queue.NewScheduler(clock.Trouble, stopEventActor).At(length+answerGrace/2, stop)
+	l.clients.Start()
 	l.loop.Run(ctx)
 	l.wg.Wait()
 	for _, t := range l.targets {
-		t.close()
+		t.closeIdle()
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.r.Seconds = min(time.Since(began), length).Seconds()
-	q := func(p float64) float64 { return float64(l.all.ValueAtQuantile(p)) / 1000 }
-	l.r.P50, l.r.P90, l.r.P99, l.r.P999, l.r.Max = q(50), q(90), q(99), q(99.9), float64(l.all.Max())/1000
-	l.r.StartDelayP99 = float64(l.late.ValueAtQuantile(99)) / 1000
-	for i, h := range l.second {
-		l.r.Series[i].P50, l.r.Series[i].P99 = float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000
-	}
-	return &l.r
+	l.result.Seconds = min(time.Since(started), length).Seconds()
+	l.result.P50 = quantileMillis(l.latency, 50)
+	l.result.P90 = quantileMillis(l.latency, 90)
+	l.result.P99 = quantileMillis(l.latency, 99)
+	l.result.P999 = quantileMillis(l.latency, 99.9)
+	l.result.Max = millis(l.latency.Max())
+	l.result.StartDelayP99 = quantileMillis(l.startDelay, 99)
+	for i, h := range l.latencyBySecond {
+		l.result.Series[i].P50 = quantileMillis(h, 50)
+		l.result.Series[i].P99 = quantileMillis(h, 99)
+	}
+	return &l.result
+}
+
+func quantileMillis(h *hdrhistogram.Histogram, percent float64) float64 {
+	return millis(h.ValueAtQuantile(percent))
 }
 
-func (t *target) close() {
+func millis(micros int64) float64 { return float64(micros) / 1000 }
+
+func (t *target) closeIdle() {
 	for {
 		select {
 		case nc := <-t.idle:
@@ -221,108 +259,117 @@
 	}
 }
 
-// door is the senders as the model's clients see them.
-type door Load
+// submitter implements client.Senders: the senders as the model's clients see them.
+type submitter Load
 
-// Hand sends a message on its way; how it ends is told later.
-func (d *door) Submit(n int, m *model.Message) (taken, up bool) {
-	l := (*Load)(d)
+// Submit starts a request for the message. Its result is reported to the clients later.
+func (s *submitter) Submit(sender int, m *model.Message) (accepted, up bool) {
+	l := (*Load)(s)
 	planned := l.loop.RealTime(l.loop.Queue.Now())
 	l.mu.Lock()
-	l.window(l.loop.Queue.Now()).Planned++
+	l.windowAt(l.loop.Queue.Now()).Planned++
 	l.mu.Unlock()
-	l.wg.Go(func() { l.hand(n, m, planned) })
+	l.wg.Go(func() { l.runRequest(sender, m, planned) })
 	return true, true
 }
 
-func (d *door) FindLive(n int) (int, bool) { return n, true }
+func (s *submitter) FindLive(sender int) (int, bool) { return sender, true }
 
-// books counts first and later tries.
-type books Load
+// tryCounter implements client.Recorder: it counts first and later tries.
+type tryCounter Load
 
-func (b *books) MessageSubmitted(time.Duration, *model.Message) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.r.FirstTries++
+func (c *tryCounter) MessageSubmitted(time.Duration, *model.Message) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.result.FirstTries++
 }
 
-func (b *books) MessageTurnedAway(time.Duration, *model.Message) {}
+func (c *tryCounter) MessageTurnedAway(time.Duration, *model.Message) {}
 
-func (b *books) MessageResubmitted(time.Duration, *model.Message) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.r.LaterTries++
+func (c *tryCounter) MessageResubmitted(time.Duration, *model.Message) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.result.LaterTries++
 }
 
-// window returns the second of a model instant; the caller holds the lock.
-func (l *Load) window(at time.Duration) *LoadWindow {
+// windowAt returns the window of a model time. The caller holds the lock.
+func (l *Load) windowAt(at time.Duration) *LoadWindow {
 	i := int(at / time.Second)
-	for len(l.r.Series) <= i {
-		l.r.Series = append(l.r.Series, LoadWindow{})
-		l.second = append(l.second, hdrhistogram.New(1, longestMicros, 2))
+	for len(l.result.Series) <= i {
+		l.result.Series = append(l.result.Series, LoadWindow{})
+		l.latencyBySecond = append(l.latencyBySecond, hdrhistogram.New(1, maxLatencyMicros, windowLatencyDigits))
 	}
-	return &l.r.Series[i]
+	return &l.result.Series[i]
 }
 
-// hand makes one request and books its answer.
-func (l *Load) hand(n int, m *model.Message, planned time.Time) {
-	t := l.targets[n%len(l.targets)]
-	id := fmt.Sprintf("%s-c%d-%s", l.o.IDPrefix, m.Class, m.ID)
-	resp, begun, err := l.ask(t, id, m, planned)
-	took := time.Since(planned)
+// runRequest makes one request and records its result.
+func (l *Load) runRequest(sender int, m *model.Message, planned time.Time) {
+	t := l.targets[sender%len(l.targets)]
+	id := fmt.Sprintf("%s-c%d-%s", l.opts.IDPrefix, m.Class, m.ID)
+	resp, begun, err := l.request(t, id, m, planned)
+	latency := time.Since(planned)
 	at := planned.Sub(l.loop.RealTime(0))
-	l.tell(n, id, m, resp, begun, err)
+	l.reportRequest(sender, id, m, resp, begun, err)
 	l.mu.Lock()
-	w := l.window(at)
-	_ = l.late.RecordValue(micros(begun.Sub(planned)))
-	advice, refused := time.Duration(0), false
+	w := l.windowAt(at)
+	_ = l.startDelay.RecordValue(clampedMicros(begun.Sub(planned)))
+	retryAfter, refused := time.Duration(0), false
 	switch {
 	case err != nil:
-		l.r.NoAnswer++
+		l.result.NoAnswer++
 		w.NoAnswer++
-		l.r.ByStatus["none"]++
+		l.result.ByStatus["none"]++
 	default:
-		l.r.ByStatus[strconv.Itoa(resp.Status)]++
-		_ = l.all.RecordValue(micros(took)) // clipped to the histogram's range
-		_ = l.second[int(at/time.Second)].RecordValue(micros(took))
+		l.result.ByStatus[strconv.Itoa(resp.Status)]++
+		_ = l.latency.RecordValue(clampedMicros(latency)) // cannot fail: within the histogram's range
+		_ = l.latencyBySecond[int(at/time.Second)].RecordValue(clampedMicros(latency))
 		switch resp.Status {
-		case 200, 202:
-			l.r.Accepted++
+		case http.StatusOK, http.StatusAccepted:
+			l.result.Accepted++
 			w.Accepted++
-			l.r.AcceptedIDs = append(l.r.AcceptedIDs, id)
-		case 429, 503:
-			l.r.Refused++
+			l.result.AcceptedIDs = append(l.result.AcceptedIDs, id)
+		case http.StatusTooManyRequests, http.StatusServiceUnavailable:
+			l.result.Refused++
 			w.Refused++
-			refused, advice = true, retryAfter(resp.Header)
+			refused = true
+			retryAfter = parseRetryAfter(resp.Header)
 		default:
-			l.r.Failed++
+			l.result.Failed++
 			w.Failed++
 		}
 	}
 	l.mu.Unlock()
 	if refused {
-		l.loop.Do(func() { l.crowd.MessageEnded(n, m, model.Refused, advice) })
+		l.loop.Do(func() { l.clients.MessageEnded(sender, m, model.Refused, retryAfter) })
 	}
 }
 
-// tell passes a request on to who wants to know of it.
-func (l *Load) tell(n int, id string, m *model.Message, resp *http1.Response, begun time.Time, err error) {
-	if l.o.OnRequestEnd == nil {
+// reportRequest passes a finished request to OnRequestEnd.
+func (l *Load) reportRequest(sender int, id string, m *model.Message, resp *http1.Response,
+	begun time.Time, err error) {
+	if l.opts.OnRequestEnd == nil {
 		return
 	}
-	h := RequestRecord{Sender: n % len(l.targets), ID: id, Class: m.Class, Deadline: l.loop.RealTime(m.Deadline), Begun: begun, Over: time.Now()}
+	record := RequestRecord{
+		Sender:   sender % len(l.targets),
+		ID:       id,
+		Class:    m.Class,
+		Deadline: l.loop.RealTime(m.Deadline),
+		Begun:    begun,
+		Over:     time.Now(),
+	}
 	if err == nil {
-		h.Status = resp.Status
+		record.Status = resp.Status
 	}
 	var failure *exchangeError
 	if errors.As(err, &failure) {
-		h.Written = failure.written
+		record.Written = failure.written
 	}
-	h.TimedOut = errors.Is(err, os.ErrDeadlineExceeded)
-	l.o.OnRequestEnd(h)
+	record.TimedOut = errors.Is(err, os.ErrDeadlineExceeded)
+	l.opts.OnRequestEnd(record)
 }
 
-// exchangeError is a request that got no answer.
+// exchangeError is the failure of a request that got no response.
 type exchangeError struct {
 	err     error
 	written bool // the whole request was written
@@ -331,102 +378,118 @@
 func (e *exchangeError) Error() string { return e.err.Error() }
 func (e *exchangeError) Unwrap() error { return e.err }
 
-func micros(d time.Duration) int64 { return min(max(d.Microseconds(), 1), longestMicros) }
+// clampedMicros returns a duration in microseconds, within the range of the histograms.
+func clampedMicros(d time.Duration) int64 { return min(max(d.Microseconds(), 1), maxLatencyMicros) }
 
-func retryAfter(h http1.Header) time.Duration {
-	s, err := strconv.ParseFloat(h.Get("Retry-After"), 64)
-	if err != nil || !(s > 0) {
+// parseRetryAfter returns the wait in a Retry-After field, 0 if there is none.
+func parseRetryAfter(h http1.Header) time.Duration {
+	seconds, err := strconv.ParseFloat(h.Get("Retry-After"), 64)
+	if err != nil || !(seconds > 0) {
 		return 0
 	}
-	return time.Duration(min(s, 3600) * float64(time.Second))
+	return time.Duration(min(seconds, maxRetryAfterSeconds) * float64(time.Second))
 }
 
-// ask makes one request on an idle connection, or on a new one. It waits for leave where all are busy.
-func (l *Load) ask(t *target, id string, m *model.Message, planned time.Time) (resp *http1.Response, begun time.Time, err error) {
-	deadline := planned.Add(l.o.AnswerTimeout)
+// request makes one request on an idle connection or else on a new one. It returns when the request was begun.
+func (l *Load) request(t *target, id string, m *model.Message, planned time.Time) (
+	resp *http1.Response, begun time.Time, err error) {
+	deadline := planned.Add(l.opts.AnswerTimeout)
 	var nc net.Conn
 	select {
 	case nc = <-t.idle:
-		// A close of a resting connection may have crossed the request: it goes out once more on another, as the protocol has it.
-		if resp, begun, err = l.askOn(nc, t, id, m, deadline); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+		resp, begun, err = l.requestOn(nc, t, id, m, deadline)
+		if err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 			return resp, begun, err
 		}
+		// The sender may have closed the idle connection while the request was on its way. As the protocol says, the
+		// request is sent once more on another connection.
 	default:
 	}
-	return l.askFresh(t, id, m, deadline)
+	return l.requestOnNewConn(t, id, m, deadline)
 }
 
-// askFresh makes a request on a new connection; where there is no room for one, on the first that falls idle.
-func (l *Load) askFresh(t *target, id string, m *model.Message, deadline time.Time) (*http1.Response, time.Time, error) {
+// requestOnNewConn makes a request on a new connection. At the limit of connections it waits for a slot or for the
+// first connection that becomes idle.
+func (l *Load) requestOnNewConn(t *target, id string, m *model.Message, deadline time.Time) (
+	*http1.Response, time.Time, error) {
 	select {
-	case t.room <- struct{}{}:
+	case t.connSlots <- struct{}{}:
 	default:
 		select {
-		case t.room <- struct{}{}:
+		case t.connSlots <- struct{}{}:
 		case nc := <-t.idle:
-			return l.askOn(nc, t, id, m, deadline)
+			return l.requestOn(nc, t, id, m, deadline)
 		case <-time.After(time.Until(deadline)):
 			return nil, time.Now(), errors.New("every connection is busy")
 		}
 	}
 	l.mu.Lock()
-	l.r.ConnectionsOpened++
+	l.result.ConnectionsOpened++
 	l.mu.Unlock()
 	nc, err := net.DialTimeout("tcp", t.addr, max(time.Until(deadline), time.Millisecond))
 	if err != nil {
-		<-t.room
+		<-t.connSlots
 		return nil, time.Now(), err
 	}
-	return l.askOn(nc, t, id, m, deadline)
+	return l.requestOn(nc, t, id, m, deadline)
 }
 
-// askOn makes a request on a connection and keeps that if it can.
-func (l *Load) askOn(nc net.Conn, t *target, id string, m *model.Message, deadline time.Time) (resp *http1.Response, begun time.Time, err error) {
+// requestOn makes a request on a connection, and keeps the connection for later requests if it can be reused.
+func (l *Load) requestOn(nc net.Conn, t *target, id string, m *model.Message, deadline time.Time) (
+	resp *http1.Response, begun time.Time, err error) {
 	begun = time.Now()
-	resp, err = l.exchange(nc, t, id, m, deadline)
+	resp, err = l.roundTrip(nc, t, id, m, deadline)
 	if err != nil || resp.Close {
 		nc.Close()
-		<-t.room
+		<-t.connSlots
 		return resp, begun, err
 	}
 	t.idle <- nc
 	return resp, begun, nil
 }
 
-func (l *Load) exchange(nc net.Conn, t *target, id string, m *model.Message, deadline time.Time) (*http1.Response, error) {
+func (l *Load) roundTrip(nc net.Conn, t *target, id string, m *model.Message, deadline time.Time) (
+	*http1.Response, error) {
 	if err := nc.SetDeadline(deadline); err != nil {
 		return nil, err
 	}
-	class := &l.s.Classes[m.Class]
+	class := &l.scenario.Classes[m.Class]
 	left := (m.Deadline - l.loop.Elapsed()).Milliseconds()
-	fields := http1.Header{{Name: "Host", Value: t.addr}, {Name: "Req-Id", Value: id}, {Name: "Req-Kind", Value: class.Name},
-		{Name: "Req-Deadline-Ms", Value: strconv.FormatInt(max(left, 1), 10)}, {Name: "Envelope", Value: "dest=" + strconv.Itoa(m.Dest)}}
+	fields := http1.Header{
+		{Name: "Host", Value: t.addr},
+		{Name: "Req-Id", Value: id},
+		{Name: "Req-Kind", Value: class.Name},
+		{Name: "Req-Deadline-Ms", Value: strconv.FormatInt(max(left, 1), 10)},
+		{Name: "Envelope", Value: "dest=" + strconv.Itoa(m.Dest)},
+	}
 	if class.Effect == "keyed" {
-		fields = append(fields, http1.Field{Name: "Idempotency-Key", Value: l.o.IDPrefix + "-" + strconv.Itoa(m.FirstTry)})
+		key := l.opts.IDPrefix + "-" + strconv.Itoa(m.FirstTry)
+		fields = append(fields, http1.Field{Name: "Idempotency-Key", Value: key})
 	}
-	body := make([]byte, l.o.BodyBytes)
+	body := make([]byte, l.opts.BodyBytes)
 	for i := range body {
 		body[i] = 'a' + byte(i%26)
 	}
 	if _, err := nc.Write(http1.AppendRequest(nil, "POST", "/"+class.Name, fields, body)); err != nil {
 		return nil, &exchangeError{err: err}
 	}
-	resp, err := http1.ReadResponse(bufio.NewReader(nc), 64<<10)
+	resp, err := http1.ReadResponse(bufio.NewReader(nc), maxResponseBody)
 	if err != nil {
 		return nil, &exchangeError{err: err, written: true}
 	}
 	return resp, nil
 }
 
-// identity reads what load put into a message's name: which first try it belongs to, and its class.
-func identity(id string) (first, class int) {
+// parseMessageID reads what Load encodes in a message's ID (runRequest): a hash that is the same for all tries of one
+// message, and its class. It returns zeros for IDs of another form.
+func parseMessageID(id string) (firstTry, class int) {
 	parts := strings.Split(id, "-")
 	if len(parts) != 3 {
 		return 0, 0
 	}
-	class, _ = strconv.Atoi(strings.TrimPrefix(parts[1], "c")) // 0 for names that others made
+	class, _ = strconv.Atoi(strings.TrimPrefix(parts[1], "c")) // 0 if another program made the ID
 	number, _, _ := strings.Cut(parts[2], ".")
 	h := fnv.New32a()
-	h.Write([]byte(parts[0] + number)) // never fails, by its contract
+	h.Write([]byte(parts[0] + number)) // never fails: hash.Hash says so
 	return int(h.Sum32()), class
 }
--- a/lab/live/loop.go
+++ b/lab/live/loop.go
@@ -1,6 +1,7 @@
-// Package live owns the lab on sockets: receivers and discovery that play a scenario in real time for a running daemon, and
-// clients that hand messages in by an open-loop schedule. It uses the model's own receivers and clients; only time and the
-// network are real. Everything listens on loopback addresses alone.
+// Package live runs the lab on sockets: receivers and discovery that play a scenario in real time for a running daemon,
+// and clients that submit messages on an open-loop schedule. Receivers and clients are those of the simulation model;
+// only time and the network are real. Every listener binds a loopback address, and load goes to loopback addresses
+// only.
 package live
 
 import (
@@ -11,22 +12,23 @@
 	"eiderhaven/lab/clock"
 )
 
-// Loop plays a queue in real time. One goroutine owns the queue and all that hangs on it; others come in through Do.
+// Loop runs an event queue in real time. One goroutine owns the queue and everything that its events use; other
+// goroutines reach them through Do.
 type Loop struct {
 	Queue clock.Queue
 	start time.Time
-	do    chan func()
+	calls chan func()
 	done  chan struct{}
 }
 
 // NewLoop returns a loop that has not started.
-func NewLoop() *Loop { return &Loop{do: make(chan func()), done: make(chan struct{})} }
+func NewLoop() *Loop { return &Loop{calls: make(chan func()), done: make(chan struct{})} }
 
-// Do runs f on the loop's goroutine and waits for it; false if the loop has ended.
+// Do runs f on the loop's goroutine and waits for it. It returns false if the loop has ended.
 func (l *Loop) Do(f func()) bool {
 	ran := make(chan struct{})
 	select {
-	case l.do <- func() { f(); close(ran) }:
+	case l.calls <- func() { f(); close(ran) }:
 		<-ran
 		return true
 	case <-l.done:
@@ -34,32 +36,37 @@
 	}
 }
 
-// At is the real time of a model instant.
+// RealTime converts a model time into a real time.
 func (l *Loop) RealTime(t time.Duration) time.Time { return l.start.Add(t) }
 
-// Elapsed is the time since the loop began.
+// Elapsed returns the time since the loop started.
 func (l *Loop) Elapsed() time.Duration { return time.Since(l.start) }
 
-// Run plays until the context ends.
+// Run runs the queue's events as they become due, until the context ends.
 func (l *Loop) Run(ctx context.Context) {
 	defer close(l.done)
 	l.start = time.Now()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		_ = l.Queue.Run(time.Since(l.start), math.MaxUint64) // no bound of events: real time is the bound
+		l.runDue()
 		wait := time.Hour
-		if next, any := l.Queue.NextAt(); any {
+		if next, scheduled := l.Queue.NextAt(); scheduled {
 			wait = max(0, next-time.Since(l.start))
 		}
 		timer.Reset(wait)
 		select {
 		case <-ctx.Done():
 			return
-		case f := <-l.do:
-			_ = l.Queue.Run(time.Since(l.start), math.MaxUint64)
+		case f := <-l.calls:
+			l.runDue()
 			f()
 		case <-timer.C:
 		}
 	}
 }
+
+// runDue runs the events that are due. Their number is not limited, as it is in a simulation: real time limits it.
+func (l *Loop) runDue() {
+	_ = l.Queue.Run(time.Since(l.start), math.MaxUint64)
+}
--- a/lab/live/observer.go
+++ b/lab/live/observer.go
@@ -1,4 +1,4 @@
-// This file owns what the model tells of itself: it is counted, and passed on to a watcher.
+// This file owns the handling of the model's events: they are counted, and passed on to a watcher.
 
 package live
 
@@ -9,46 +9,47 @@
 	"eiderhaven/lab/receiver"
 )
 
-// observer counts what the model does.
+// observer implements receiver.Observer for Receivers.
 type observer Receivers
 
-func (x *observer) CallArrived(*receiver.Unit, *model.Call) {}
+func (o *observer) CallArrived(*receiver.Unit, *model.Call) {}
 
-func (x *observer) CallRefused(*receiver.Unit, *model.Call, bool) {}
+func (o *observer) CallRefused(*receiver.Unit, *model.Call, bool) {}
 
-func (x *observer) Outage(u *receiver.Unit, begins bool) {
-	if x.watch != nil {
-		x.watch.Outage(u, begins)
+func (o *observer) Outage(u *receiver.Unit, begins bool) {
+	if o.watcher != nil {
+		o.watcher.Outage(u, begins)
 	}
 }
 
-func (x *observer) WindowMeasured(u *receiver.Unit, window []receiver.Arrival, allowed float64) {
-	if x.watch != nil {
-		x.watch.WindowMeasured(u, window, allowed)
+func (o *observer) WindowMeasured(u *receiver.Unit, window []receiver.Arrival, allowed float64) {
+	if o.watcher != nil {
+		o.watcher.WindowMeasured(u, window, allowed)
 	}
 }
 
-func (x *observer) MessageTookEffect(_ *receiver.Unit, m *model.Message, repeat bool) {
-	v := (*Receivers)(x)
-	v.mu.Lock()
-	defer v.mu.Unlock()
+func (o *observer) MessageTookEffect(_ *receiver.Unit, m *model.Message, repeat bool) {
+	r := (*Receivers)(o)
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	id := string(m.ID)
-	if !v.seen[id] {
-		v.seen[id] = true
-		v.counts.Messages++
+	if !r.tookEffect[id] {
+		r.tookEffect[id] = true
+		r.counts.Messages++
 		return
 	}
-	v.counts.Repeats++
-	if !repeat && v.s.Classes[m.Class].Effect == "once" {
-		v.counts.DuplicateEffects++
+	r.counts.Repeats++
+	if !repeat && r.scenario.Classes[m.Class].Effect == "once" {
+		r.counts.DuplicateEffects++
 	}
 }
 
-func (x *observer) UnitOverloaded(u *receiver.Unit, by map[int]float64) {
-	v := (*Receivers)(x)
-	if v.watch != nil {
-		v.watch.UnitOverloaded(u, by)
+func (o *observer) UnitOverloaded(u *receiver.Unit, callsBySender map[int]float64) {
+	r := (*Receivers)(o)
+	if r.watcher != nil {
+		r.watcher.UnitOverloaded(u, callsBySender)
 	}
-	v.count(func(c *Counts) { c.UnitsOverloaded++ })
-	v.log(fmt.Sprintf("%8.3fs unit %d of destination %d falls over", v.loop.Queue.Now().Seconds(), u.Number, u.Dest))
+	r.updateCounts(func(c *Counts) { c.UnitsOverloaded++ })
+	r.log(fmt.Sprintf("%8.3fs unit %d of destination %d collapses: overloaded during recovery",
+		r.loop.Queue.Now().Seconds(), u.Number, u.Dest))
 }
--- a/lab/live/receivers.go
+++ b/lab/live/receivers.go
@@ -1,5 +1,5 @@
-// This file owns the receivers' side: a listener for each endpoint, discovery, and the troubles of a scenario in real time.
-// It must never be kinder than the model: what the model breaks is broken on the socket.
+// This file owns the receivers' side: a listener for each endpoint, discovery, and the faults that a scenario injects,
+// in real time. It must never be more lenient than the model: what the model breaks is broken on the socket.
 
 package live
 
@@ -24,19 +24,19 @@
 	"eiderhaven/standin/platform"
 )
 
-// Skipped lists the kinds of trouble of a scenario that receivers on sockets cannot play: those of clients, which load
-// plays, and those of senders, which run outside.
+// SkippedTroubles returns the kinds of trouble in a scenario that Receivers do not play: troubles of clients, which
+// Load plays, and troubles of senders, which are processes of their own.
 func SkippedTroubles(s *scenario.Scenario) []string {
-	var out []string
+	var kinds []string
 	for _, t := range s.Troubles {
-		if !onReceivers(t) && !slices.Contains(out, t.Kind) {
-			out = append(out, t.Kind)
+		if !playedByReceivers(t) && !slices.Contains(kinds, t.Kind) {
+			kinds = append(kinds, t.Kind)
 		}
 	}
-	return out
+	return kinds
 }
 
-func onReceivers(t scenario.Trouble) bool {
+func playedByReceivers(t scenario.Trouble) bool {
 	switch t.Kind {
 	case "surge", "hot", "clump", "restart":
 		return false
@@ -44,253 +44,281 @@
 	return true
 }
 
-// Counts is what receivers saw.
+// Counts holds the totals of a run as receivers and discovery observed it.
 type Counts struct {
 	Connections        int            `json:"connections"`
 	ConnectionsRefused int            `json:"connections_refused"`
 	Calls              int            `json:"calls"`
-	Outcomes           map[string]int `json:"outcomes"` // of calls
-	Messages           int            `json:"messages"` // that took effect, each once
-	Repeats            int            `json:"repeats"`  // further times that one took effect
-	DuplicateEffects   int            `json:"doubled"`  // of those, such as must not be repeated
-	Notices            int            `json:"notices"`
-	Dead               int            `json:"dead"`
-	Bounced            int            `json:"bounced"`
+	Outcomes           map[string]int `json:"outcomes"` // of calls, by outcomeName
+	Messages           int            `json:"messages"` // messages that took effect, each counted once
+	Repeats            int            `json:"repeats"`  // further times that such a message took effect
+	DuplicateEffects   int            `json:"doubled"`  // repeats of messages that must not take effect twice
+	Notices            int            `json:"notices"`  // to the platform, Dead and Bounced together
+	Dead               int            `json:"dead"`     // notices with the result "dead"
+	Bounced            int            `json:"bounced"`  // notices with any other result
 	UnitsOverloaded    int            `json:"units_fallen"`
 }
 
-// Watcher is told what receivers see, with the sender where each sender has doors of its own, else with 0. It is called on
-// the goroutine that plays the receivers and must not wait.
+// Watcher observes what receivers see. The sender is 0 unless each sender has listeners of its own (NewFleetReceivers).
+// Its methods are called on the loop's goroutine and must not block.
 type Watcher interface {
-	ConnectionOpened(sender int, ep *receiver.Endpoint, taken bool)
+	ConnectionOpened(sender int, ep *receiver.Endpoint, accepted bool)
 	CallReceived(sender int, ep *receiver.Endpoint, c *model.Call)
 	CallAnswered(sender int, ep *receiver.Endpoint, c *model.Call, o model.Outcome)
-	CallAbandoned(sender int, ep *receiver.Endpoint, c *model.Call) // c is nil where nobody read it
+	CallAbandoned(sender int, ep *receiver.Endpoint, c *model.Call) // c is nil if the call did not reach the model
 	ListPublished(e rules.ListUpdate)
 	Outage(u *receiver.Unit, begins bool)
 	WindowMeasured(u *receiver.Unit, window []receiver.Arrival, allowed float64)
-	UnitOverloaded(u *receiver.Unit, by map[int]float64)
+	UnitOverloaded(u *receiver.Unit, callsBySender map[int]float64)
 }
 
-// FleetOptions let receivers tell senders apart: each has a discovery of its own, which lists addresses that no other is told.
+// FleetOptions configure receivers that tell senders apart: each sender has its own discovery, which lists addresses
+// that no other discovery lists.
 type FleetOptions struct {
 	Senders int
-	Watcher Watcher // nil: nobody is told
+	Watcher Watcher // may be nil
 }
 
 // Receivers play a scenario's receivers and its registry on sockets.
 type Receivers struct {
-	s     *scenario.Scenario
-	loop  *Loop
-	site  *world.ReceiverSet
-	reg   *registry.Registry
-	discs []*platform.Discovery // by sender
-	watch Watcher
-	doors int
-	hosts map[rules.EndpointID]platform.Entry
-	dials map[rules.EndpointID][]string // by sender
-	order []rules.EndpointID
-	wg    sync.WaitGroup
-	log   func(string)
+	scenario    *scenario.Scenario
+	loop        *Loop
+	endpointSet *world.ReceiverSet
+	reg         *registry.Registry
+	discoveries []*platform.Discovery // by sender
+	watcher     Watcher
+	senderCount int
+	listings    map[rules.EndpointID]platform.Entry // without the address, which differs by sender
+	addrs       map[rules.EndpointID][]string       // by sender
+	endpointIDs []rules.EndpointID                  // in the order of the lists
+	wg          sync.WaitGroup
+	log         func(string)
 
-	mu     sync.Mutex
-	counts Counts
-	seen   map[string]bool
-	lag    time.Duration // the longest that a call has waited for the loop
-	lns    []net.Listener
-	conns  map[net.Conn]bool
+	mu         sync.Mutex
+	counts     Counts
+	tookEffect map[string]bool // IDs of messages
+	maxLag     time.Duration   // longest wait of a call for the loop
+	listeners  []net.Listener
+	conns      map[net.Conn]bool
 }
 
-// NewReceivers listens for discovery and for every endpoint. Run starts the troubles.
+// Limits of what is played on sockets.
+const (
+	maxDestinations = 2000
+	maxListeners    = 8000 // of all endpoints and senders
+)
+
+// anyPort lets the system choose a free port.
+const anyPort = "127.0.0.1:0"
+
+// NewReceivers listens for discovery at the given address, and on a port for every endpoint. Run starts the troubles.
 func NewReceivers(s *scenario.Scenario, seed uint64, discovery string, log func(string)) (*Receivers, error) {
 	return NewFleetReceivers(s, seed, discovery, FleetOptions{Senders: 1}, log)
 }
 
-// mostDoors bounds the listeners of all endpoints.
-const mostDoors = 8000
-
-// NewFleetReceivers is NewReceivers with senders told apart. The first sender's discovery listens at the address, the others'
-// beside it on ports that are free.
-func NewFleetReceivers(s *scenario.Scenario, seed uint64, discovery string, o FleetOptions, log func(string)) (*Receivers, error) {
-	if n := s.DestinationCount(); n > 2000 || n*o.Senders > mostDoors {
-		return nil, fmt.Errorf("%d destinations for %d senders: on sockets 2000 at most, and %d ports", n, o.Senders, mostDoors)
+// NewFleetReceivers is NewReceivers for several senders that are told apart. The first sender's discovery listens at
+// the given address, the others' on free ports.
+func NewFleetReceivers(s *scenario.Scenario, seed uint64, discovery string, o FleetOptions,
+	log func(string)) (*Receivers, error) {
+	if n := s.DestinationCount(); n > maxDestinations || n*o.Senders > maxListeners {
+		return nil, fmt.Errorf("%d destinations for %d senders: up to %d destinations and %d ports can be played on sockets",
+			n, o.Senders, maxDestinations, maxListeners)
 	}
-	v := &Receivers{s: s, loop: NewLoop(), hosts: map[rules.EndpointID]platform.Entry{}, dials: map[rules.EndpointID][]string{},
-		seen: map[string]bool{}, conns: map[net.Conn]bool{}, log: log, doors: o.Senders, watch: o.Watcher}
-	v.counts.Outcomes = map[string]int{}
-	q := &v.loop.Queue
-	v.reg = registry.New(1, false, s.Registry.Lag.Random(), q, random.Stream(seed, "registry", 0), func(_ int, e rules.ListUpdate) { v.listed(e) })
-	v.site = world.NewReceiverSet(s, seed, q, v.reg, (*observer)(v))
-	for id := rules.EndpointID(1); int(id) <= len(v.site.Endpoints); id++ {
-		if err := v.listen(v.site.Endpoints[id]); err != nil {
-			v.closeAll()
+	r := &Receivers{
+		scenario: s, loop: NewLoop(), senderCount: o.Senders, watcher: o.Watcher, log: log,
+		listings: map[rules.EndpointID]platform.Entry{}, addrs: map[rules.EndpointID][]string{},
+		tookEffect: map[string]bool{}, conns: map[net.Conn]bool{},
+	}
+	r.counts.Outcomes = map[string]int{}
+	q := &r.loop.Queue
+	r.reg = registry.New(1, false, s.Registry.Lag.Random(), q, random.Stream(seed, "registry", 0),
+		func(_ int, e rules.ListUpdate) { r.updateList(e) })
+	r.endpointSet = world.NewReceiverSet(s, seed, q, r.reg, (*observer)(r))
+	for id := rules.EndpointID(1); int(id) <= len(r.endpointSet.Endpoints); id++ {
+		if err := r.listenForEndpoint(r.endpointSet.Endpoints[id]); err != nil {
+			r.closeAll()
 			return nil, err
 		}
 	}
 	for sender := range o.Senders {
-		disc, err := platform.NewDiscovery(discovery, v.entries(sender)...)
+		d, err := platform.NewDiscovery(discovery, r.entriesFor(sender)...)
 		if err != nil {
-			v.closeAll()
+			r.closeAll()
 			return nil, err
 		}
-		disc.RestartVersions(int(time.Now().UnixMilli())) // a sender may come back with a version of receivers that ran before
-		v.discs = append(v.discs, disc)
-		discovery = "127.0.0.1:0"
+		// A sender that restarts with its state may hold a list version from receivers that ran before these: start
+		// above it.
+		d.RestartVersions(int(time.Now().UnixMilli()))
+		r.discoveries = append(r.discoveries, d)
+		discovery = anyPort
 	}
-	v.schedule(seed)
-	return v, nil
+	r.scheduleTroubles(seed)
+	return r, nil
 }
 
-func (v *Receivers) schedule(seed uint64) {
-	playable := *v.s
+func (r *Receivers) scheduleTroubles(seed uint64) {
+	playable := *r.scenario
 	playable.Troubles = nil
-	for _, t := range v.s.Troubles {
-		if onReceivers(t) {
+	for _, t := range r.scenario.Troubles {
+		if playedByReceivers(t) {
 			playable.Troubles = append(playable.Troubles, t)
 		}
 	}
-	st := &trouble.Environment{Scenario: &playable, Queue: &v.loop.Queue, Registry: v.reg, Weights: v.s.DestinationWeights(),
-		Units: func() []*receiver.Unit { return v.site.Units }, Replace: v.replace,
+	env := &trouble.Environment{
+		Scenario: &playable,
+		Queue:    &r.loop.Queue,
+		Registry: r.reg,
+		Weights:  r.scenario.DestinationWeights(),
+		Units:    func() []*receiver.Unit { return r.endpointSet.Units },
+		Replace:  r.replaceEndpoint,
 		Log: func(format string, args ...any) {
-			for _, d := range v.discs {
-				d.DropListRequests(v.reg.Unreachable > 0)
+			// A trouble began or ended; this may have changed whether the registry is reachable.
+			for _, d := range r.discoveries {
+				d.DropListRequests(r.reg.Unreachable > 0)
 			}
-			v.log(fmt.Sprintf("%8.3fs ", v.loop.Queue.Now().Seconds()) + fmt.Sprintf(format, args...))
-		}}
-	st.Schedule(seed)
+			r.log(fmt.Sprintf("%8.3fs ", r.loop.Queue.Now().Seconds()) + fmt.Sprintf(format, args...))
+		},
+	}
+	env.Schedule(seed)
 }
 
-// replace makes a new endpoint and its listener.
-func (v *Receivers) replace(old *receiver.Endpoint) *receiver.Endpoint {
-	fresh := v.site.Replace(old)
-	if err := v.listen(fresh); err != nil {
-		v.log("no listener for a new endpoint: " + err.Error())
+// replaceEndpoint creates an endpoint in place of an old one, with its listeners.
+func (r *Receivers) replaceEndpoint(old *receiver.Endpoint) *receiver.Endpoint {
+	replacement := r.endpointSet.Replace(old)
+	if err := r.listenForEndpoint(replacement); err != nil {
+		r.log("cannot listen for a replacement endpoint: " + err.Error())
 	}
-	return fresh
+	return replacement
 }
 
-func (v *Receivers) listen(ep *receiver.Endpoint) error {
-	for sender := range v.doors {
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
+// listenForEndpoint listens on a port of the endpoint for each sender, and adds the endpoint to the lists.
+func (r *Receivers) listenForEndpoint(ep *receiver.Endpoint) error {
+	for sender := range r.senderCount {
+		ln, err := net.Listen("tcp", anyPort)
 		if err != nil {
 			return fmt.Errorf("endpoint %d: %w", ep.ID, err)
 		}
-		v.mu.Lock()
-		v.lns = append(v.lns, ln)
-		v.mu.Unlock()
-		v.dials[ep.ID] = append(v.dials[ep.ID], ln.Addr().String())
-		v.wg.Go(func() { v.accept(ln, ep, sender) })
+		r.mu.Lock()
+		r.listeners = append(r.listeners, ln)
+		r.mu.Unlock()
+		r.addrs[ep.ID] = append(r.addrs[ep.ID], ln.Addr().String())
+		r.wg.Go(func() { r.acceptConnections(ln, ep, sender) })
 	}
-	kind := v.s.Kinds[ep.Unit.Kind].Name
-	v.hosts[ep.ID] = platform.Entry{Host: "r-" + strconv.Itoa(int(ep.ID)), Site: ZoneName(ep.Zone),
-		Class: kind, Block: ep.Unit.Dest, Health: "Ready"}
-	if e, known := v.reg.Entry(ep.ID); known {
-		h := v.hosts[ep.ID]
-		h.Share = e.ListedRate
-		v.hosts[ep.ID] = h
+	listing := platform.Entry{
+		Host:   "r-" + strconv.Itoa(int(ep.ID)),
+		Site:   ZoneName(ep.Zone),
+		Class:  r.scenario.Kinds[ep.Unit.Kind].Name,
+		Block:  ep.Unit.Dest,
+		Health: "Ready",
 	}
-	v.order = append(v.order, ep.ID)
+	if e, known := r.reg.Entry(ep.ID); known {
+		listing.Share = e.ListedRate
+	}
+	r.listings[ep.ID] = listing
+	r.endpointIDs = append(r.endpointIDs, ep.ID)
 	return nil
 }
 
-// ZoneName is how a zone is called on sockets.
+// ZoneName returns the name of a zone in configurations and lists.
 func ZoneName(zone int) string { return "z" + strconv.Itoa(zone) }
 
-// listed brings discovery up to date.
-func (v *Receivers) listed(e rules.ListUpdate) {
+// updateList publishes a change of the registry through every discovery.
+func (r *Receivers) updateList(e rules.ListUpdate) {
 	for _, x := range e.Entries {
-		h := v.hosts[x.Endpoint]
-		h.Share = x.ListedRate
+		listing := r.listings[x.Endpoint]
+		listing.Share = x.ListedRate
 		switch {
 		case x.Gone:
-			h.Health = "Gone"
+			listing.Health = "Gone"
 		case x.Draining:
-			h.Health = "Terminating"
+			listing.Health = "Terminating"
 		default:
-			h.Health = "Ready"
+			listing.Health = "Ready"
 		}
-		v.hosts[x.Endpoint] = h
+		r.listings[x.Endpoint] = listing
 	}
-	if v.watch != nil {
-		v.watch.ListPublished(e)
+	if r.watcher != nil {
+		r.watcher.ListPublished(e)
 	}
-	for sender, d := range v.discs {
-		d.SetList(v.entries(sender)...)
+	for sender, d := range r.discoveries {
+		d.SetList(r.entriesFor(sender)...)
 	}
 }
 
-// entries is the list as a sender is told it.
-func (v *Receivers) entries(sender int) []platform.Entry {
-	var out []platform.Entry
-	for _, id := range v.order {
-		if e, listed := v.reg.Entry(id); listed && v.hosts[id].Health != "Gone" && e.Endpoint == id {
-			h := v.hosts[id]
-			h.Dial = v.dials[id][sender]
-			out = append(out, h)
+// entriesFor returns the list that a sender's discovery publishes.
+func (r *Receivers) entriesFor(sender int) []platform.Entry {
+	var entries []platform.Entry
+	for _, id := range r.endpointIDs {
+		if e, listed := r.reg.Entry(id); listed && r.listings[id].Health != "Gone" && e.Endpoint == id {
+			listing := r.listings[id]
+			listing.Dial = r.addrs[id][sender]
+			entries = append(entries, listing)
 		}
 	}
-	return out
+	return entries
 }
 
-// Discovery is where discovery listens, the first sender's where each has one.
-func (v *Receivers) DiscoveryAddr() string { return v.discs[0].Addr() }
+// DiscoveryAddr returns the address of discovery; the first sender's if each sender has its own.
+func (r *Receivers) DiscoveryAddr() string { return r.discoveries[0].Addr() }
 
-// DiscoveryOf is where a sender's discovery listens.
-func (v *Receivers) DiscoveryAddrOf(sender int) string { return v.discs[sender].Addr() }
+// DiscoveryAddrOf returns the address of a sender's discovery.
+func (r *Receivers) DiscoveryAddrOf(sender int) string { return r.discoveries[sender].Addr() }
 
-// Notices returns a sender's notices so far, with the times at which they came.
-func (v *Receivers) Notices(sender int) []platform.Notice { return v.discs[sender].TimedNotices() }
+// Notices returns a sender's notices so far, with their arrival times.
+func (r *Receivers) Notices(sender int) []platform.Notice {
+	return r.discoveries[sender].TimedNotices()
+}
 
-// notices are the lines of all notices so far.
-func (v *Receivers) notices() (lines []string) {
-	for _, d := range v.discs {
+// noticeLines returns the encoded notices of all senders so far.
+func (r *Receivers) noticeLines() (lines []string) {
+	for _, d := range r.discoveries {
 		lines = append(lines, d.Notices()...)
 	}
 	return lines
 }
 
-// Endpoints is how many endpoints listen.
-func (v *Receivers) ListenerCount() int {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return len(v.lns)
+// ListenerCount returns the number of ports that endpoints listen on: one for each endpoint and sender.
+func (r *Receivers) ListenerCount() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return len(r.listeners)
 }
 
 // Run plays the scenario's troubles until the context ends, then closes everything.
-func (v *Receivers) Run(ctx context.Context) {
-	v.loop.Run(ctx)
-	v.closeAll()
-	v.wg.Wait()
+func (r *Receivers) Run(ctx context.Context) {
+	r.loop.Run(ctx)
+	r.closeAll()
+	r.wg.Wait()
 }
 
-func (v *Receivers) closeAll() {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	for _, ln := range v.lns {
+func (r *Receivers) closeAll() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, ln := range r.listeners {
 		ln.Close()
 	}
-	for nc := range v.conns {
+	for nc := range r.conns {
 		nc.Close()
 	}
-	for _, d := range v.discs {
-		go d.Close() // it waits for its connections, which may wait for a watch to end
+	for _, d := range r.discoveries {
+		go d.Close() // not waited for: it waits for its connections, which may hold a watch that is still open
 	}
 }
 
-// Counts returns what was seen so far.
-func (v *Receivers) Counts() Counts {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	c := v.counts
+// Counts returns the totals so far.
+func (r *Receivers) Counts() Counts {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	c := r.counts
 	c.Outcomes = map[string]int{}
-	for k, n := range v.counts.Outcomes {
+	for k, n := range r.counts.Outcomes {
 		c.Outcomes[k] = n
 	}
-	for _, line := range v.notices() {
-		var n struct{ Result string }
-		if json.Unmarshal([]byte(line), &n) == nil {
+	for _, line := range r.noticeLines() {
+		var notice struct{ Result string }
+		if json.Unmarshal([]byte(line), &notice) == nil {
 			c.Notices++
-			if n.Result == "dead" {
+			if notice.Result == "dead" {
 				c.Dead++
 			} else {
 				c.Bounced++
@@ -300,25 +328,25 @@
 	return c
 }
 
-// Ended returns the names of the messages that took effect or had a notice.
-func (v *Receivers) FinishedIDs() map[string]bool {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	out := map[string]bool{}
-	for id := range v.seen {
-		out[id] = true
+// FinishedIDs returns the IDs of the messages that took effect or had a notice.
+func (r *Receivers) FinishedIDs() map[string]bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	finished := map[string]bool{}
+	for id := range r.tookEffect {
+		finished[id] = true
 	}
-	for _, line := range v.notices() {
-		var n struct{ Ref string }
-		if json.Unmarshal([]byte(line), &n) == nil {
-			out[n.Ref] = true
+	for _, line := range r.noticeLines() {
+		var notice struct{ Ref string }
+		if json.Unmarshal([]byte(line), &notice) == nil {
+			finished[notice.Ref] = true
 		}
 	}
-	return out
+	return finished
 }
 
-func (v *Receivers) count(f func(*Counts)) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	f(&v.counts)
+func (r *Receivers) updateCounts(f func(*Counts)) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	f(&r.counts)
 }
