--- a/lab/rig/daemon.go
+++ b/lab/rig/daemon.go
@@ -18,88 +18,96 @@
 	"eiderhaven/lab/process"
 )
 
-// Bounds of a start, by the standing test's page.
+// Limits of the time until a process is ready, as the platform's standing test has them.
 const (
-	firstStart = 30 * time.Second
-	laterStart = 10 * time.Second
+	initialStartTimeout = 30 * time.Second
+	restartTimeout      = 10 * time.Second
 )
 
-// daemon is one sender under one name; its processes follow one another on the same folder.
+const (
+	readyPollInterval = 5 * time.Millisecond
+	readyPollTimeout  = time.Second
+)
+
+// daemon is one sender. When its process is killed and started again, the new process has the same name, address and
+// state directory.
 type daemon struct {
-	n       int
+	index   int
 	program string
 	dir     string
 	listen  string
 	starter *process.Starter
 
-	restarting sync.Mutex // held from the signal to the next start
+	restarting sync.Mutex // held from the signal until the next process is ready
 
-	mu    sync.Mutex
-	cmd   *exec.Cmd
-	ended chan struct{}
-	told  bool // to end
-	spans []span
-	log   bytes.Buffer
+	mu            sync.Mutex
+	cmd           *exec.Cmd
+	exited        chan struct{} // closed when the latest process has exited
+	stopRequested bool          // of the latest process
+	processes     []processSpan // in the order of their starts
+	log           bytes.Buffer
 }
 
-// span is the life of one process.
-type span struct {
+// processSpan is the lifetime of one process.
+type processSpan struct {
 	started, ready time.Time
-	asked          time.Time // to end, zero if it was not
-	ended          time.Time // zero while it runs
+	stopRequested  time.Time // when it was sent SIGTERM or SIGKILL; zero if it was not
+	exited         time.Time // zero while it runs
 }
 
-// lockedWriter serialises what a process writes.
-type lockedWriter struct{ d *daemon }
+// logWriter appends a process's output to the daemon's log.
+type logWriter struct{ daemon *daemon }
 
-func (w lockedWriter) Write(p []byte) (int, error) {
-	w.d.mu.Lock()
-	defer w.d.mu.Unlock()
-	return w.d.log.Write(p)
+func (w logWriter) Write(p []byte) (int, error) {
+	w.daemon.mu.Lock()
+	defer w.daemon.mu.Unlock()
+	return w.daemon.log.Write(p)
 }
 
 // start starts a process and waits until it is ready.
-func (d *daemon) start(ctx context.Context, limit time.Duration) error {
+func (d *daemon) start(ctx context.Context, timeout time.Duration) error {
 	cmd := exec.Command(d.program)
-	cmd.Env = append(os.Environ(), "LB_CONFIG="+filepath.Join(d.dir, "config.json"), "LB_STATE="+filepath.Join(d.dir, "state"),
+	cmd.Env = append(os.Environ(),
+		"LB_CONFIG="+filepath.Join(d.dir, "config.json"),
+		"LB_STATE="+filepath.Join(d.dir, "state"),
 		"LB_NAME=", "LB_LISTEN=", "LB_DISCOVERY=")
-	cmd.Stderr = lockedWriter{d}
+	cmd.Stderr = logWriter{d}
 	if err := d.starter.Start(ctx, cmd); err != nil {
-		return fmt.Errorf("sender %d: %w", d.n, err)
+		return fmt.Errorf("sender %d: %w", d.index, err)
 	}
-	ended := make(chan struct{})
+	exited := make(chan struct{})
 	d.mu.Lock()
-	d.cmd, d.ended, d.told = cmd, ended, false
-	d.spans = append(d.spans, span{started: time.Now()})
-	mine := len(d.spans) - 1
+	d.cmd, d.exited, d.stopRequested = cmd, exited, false
+	d.processes = append(d.processes, processSpan{started: time.Now()})
+	current := len(d.processes) - 1
 	d.mu.Unlock()
 	go func() {
-		_ = cmd.Wait() // how it ended does not matter where it was told to, and is a crash where it was not
+		_ = cmd.Wait() // the exit status does not matter: an exit that was not requested counts as a crash, see crashed
 		d.mu.Lock()
-		d.spans[mine].ended = time.Now()
+		d.processes[current].exited = time.Now()
 		d.mu.Unlock()
-		close(ended)
+		close(exited)
 	}()
-	for until := time.Now().Add(limit); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
-		if d.answers() {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(readyPollInterval) {
+		if d.isReady() {
 			d.mu.Lock()
-			d.spans[mine].ready = time.Now()
+			d.processes[current].ready = time.Now()
 			d.mu.Unlock()
 			return nil
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-ended:
-			return fmt.Errorf("sender %d ended at its start", d.n)
+		case <-exited:
+			return fmt.Errorf("sender %d ended at its start", d.index)
 		default:
 		}
 	}
-	return fmt.Errorf("sender %d was not ready within %v", d.n, limit)
+	return fmt.Errorf("sender %d was not ready within %v", d.index, timeout)
 }
 
-func (d *daemon) answers() bool {
-	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+func (d *daemon) isReady() bool {
+	client := http.Client{Timeout: readyPollTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Get("http://" + d.listen + "/health/ready")
 	if err != nil {
 		return false
@@ -108,60 +116,60 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// signal sends a signal to the process that runs now.
+// signal sends a signal to the latest process, if it is running.
 func (d *daemon) signal(sig syscall.Signal) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.cmd == nil || !d.spans[len(d.spans)-1].ended.IsZero() {
+	if d.cmd == nil || !d.processes[len(d.processes)-1].exited.IsZero() {
 		return
 	}
 	if sig == syscall.SIGKILL || sig == syscall.SIGTERM {
-		d.told = true
-		if s := &d.spans[len(d.spans)-1]; s.asked.IsZero() {
-			s.asked = time.Now()
+		d.stopRequested = true
+		if p := &d.processes[len(d.processes)-1]; p.stopRequested.IsZero() {
+			p.stopRequested = time.Now()
 		}
 	}
-	_ = d.cmd.Process.Signal(sig) // it may have ended meanwhile
+	_ = d.cmd.Process.Signal(sig) // fails if the process has just exited, which is fine
 }
 
-// kill ends the process and waits for its end.
+// kill kills the latest process and waits until it has exited.
 func (d *daemon) kill() {
 	d.mu.Lock()
-	ended := d.ended
+	exited := d.exited
 	d.mu.Unlock()
-	if ended == nil {
+	if exited == nil {
 		return
 	}
 	d.signal(syscall.SIGKILL)
-	<-ended
+	<-exited
 }
 
-// crashed tells whether the process that runs now has ended though nobody told it to.
+// crashed reports whether the latest process exited without being sent SIGTERM or SIGKILL.
 func (d *daemon) crashed() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return len(d.spans) > 0 && !d.told && !d.spans[len(d.spans)-1].ended.IsZero()
+	return len(d.processes) > 0 && !d.stopRequested && !d.processes[len(d.processes)-1].exited.IsZero()
 }
 
-// life returns the spans of all processes so far.
-func (d *daemon) life() []span {
+// processSpans returns the lifetimes of all processes so far.
+func (d *daemon) processSpans() []processSpan {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return append([]span(nil), d.spans...)
+	return append([]processSpan(nil), d.processes...)
 }
 
-// text is all that its processes wrote.
-func (d *daemon) text() string {
+// logText returns the output of all processes so far.
+func (d *daemon) logText() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.log.String()
 }
 
-// runs counts the runs of this process: several may go on at once.
-var runs atomic.Int32
+// runCount numbers the runs of this program, which may overlap.
+var runCount atomic.Int32
 
-// address is where a sender of a run listens: an address of its own, which no outgoing connection of this machine is given as
-// its own.
-func address(run int32, n int) string {
-	return fmt.Sprintf("127.%d.%d.%d:9000", 1+run%250, 1+n%250, 1+os.Getpid()%250)
+// listenAddress returns the address of one sender of a run. It has an IP address of its own, which the system does not
+// use as the source of outgoing connections, so that none of these can occupy its port.
+func listenAddress(run int32, sender int) string {
+	return fmt.Sprintf("127.%d.%d.%d:9000", 1+run%250, 1+sender%250, 1+os.Getpid()%250)
 }
--- a/lab/rig/judge.go
+++ b/lab/rig/judge.go
@@ -1,10 +1,12 @@
-// This file owns the verdict on a run: the six rules, crashes and failed starts, by the records of clients and receivers.
+// This file owns the assessment of a run: the six rules, crashes and failed starts, by the records of clients and
+// receivers. It must never use what a sender reports about itself.
 
 package rig
 
 import (
 	"encoding/json"
 	"fmt"
+	"net/http"
 	"slices"
 	"time"
 
@@ -15,199 +17,265 @@
 	"eiderhaven/standin/platform"
 )
 
-// Slack of the rules on sockets, as the protocol page has it.
+// Tolerances of the rules on sockets, as the protocol sets them.
 const (
-	lostAfter    = 300 * time.Millisecond  // a message neither delivered nor told of so long after its time is lost
-	restartGrace = 1500 * time.Millisecond // and not before a restarted sender was ready for so long
-	waitSlack    = 100 * time.Millisecond  // calls so soon after a told wait are let through
-	limitSlack   = 50 * time.Millisecond   // by which every limit is extended
-	killSlack    = 50 * time.Millisecond   // between a signal and what a client sees of it
+	finishSlack     = 300 * time.Millisecond  // from a message's deadline until it is lost if it has not finished
+	restartGrace    = 1500 * time.Millisecond // the least time that a restarted sender has, once ready, to finish messages
+	retryAfterSlack = 100 * time.Millisecond  // calls this soon after a refusal may have been on their way
+	limitSlack      = 50 * time.Millisecond   // added to every other time limit
+	signalSlack     = 50 * time.Millisecond   // between a process's exit and what a client sees of it
 )
 
-// Break is one broken rule, crash or failed start.
+// maxRefusalDistance is how many calls back a refusal is searched for; this many calls take longer than a retry-after
+// lasts, which is some seconds.
+const maxRefusalDistance = 400
+
+// Violation is one broken rule, crash or failed start.
 type Violation struct {
 	Rule   string    `json:"rule"`
 	At     time.Time `json:"at"`
-	Sender int       `json:"sender"`
+	Sender int       `json:"sender"` // -1 if several senders caused it together
 	ID     string    `json:"id,omitempty"`
 	Text   string    `json:"text"`
 }
 
-// message is what is known of one message that clients handed in.
+// message holds what clients and receivers observed of one submitted message.
 type message struct {
-	handed    live.RequestRecord
+	request   live.RequestRecord
 	calls     []*call
 	delivered time.Time
-	noticed   time.Time
+	noticed   time.Time // of the first notice
 }
 
-// records are all that clients and receivers saw of a run.
+// records hold what clients and receivers observed in a run, and the lifetimes of the sender processes.
 type records struct {
-	s       *scenario.Scenario
-	w       *watcher
-	handed  []live.RequestRecord
-	notices [][]platform.Notice // by sender
-	lives   [][]span            // by sender
-	ended   time.Time           // of the run
+	scenario  *scenario.Scenario
+	watcher   *watcher
+	requests  []live.RequestRecord
+	notices   [][]platform.Notice // by sender
+	processes [][]processSpan     // by sender
+	endedAt   time.Time           // of the run
 }
 
-// verdict returns what was broken.
-func (r *records) verdict() (breaks []Violation) {
-	messages := r.join()
-	for _, f := range r.w.falls {
-		if f.RuleBroken {
-			breaks = append(breaks, Violation{Rule: judge.RecoveryOverload.String(), At: f.At, Sender: -1, Text: f.String()})
+// violations checks all rules and returns what was broken, in the order of time.
+func (r *records) violations() []Violation {
+	var found []Violation
+	messages := r.messagesByID()
+	for _, o := range r.watcher.overloads {
+		if o.RuleBroken {
+			found = append(found, Violation{
+				Rule:   judge.RecoveryOverload.String(),
+				At:     o.At,
+				Sender: -1,
+				Text:   o.String(),
+			})
 		}
 	}
 	for id, m := range messages {
-		breaks = append(breaks, r.lost(id, m)...)
-		breaks = append(breaks, r.doubled(id, m)...)
+		found = append(found, r.checkFinished(id, m)...)
+		found = append(found, r.checkRepeats(id, m)...)
 	}
-	breaks = append(breaks, r.unanswered()...)
-	breaks = append(breaks, r.drained()...)
-	breaks = append(breaks, r.hasty()...)
-	slices.SortFunc(breaks, func(a, b Violation) int { return a.At.Compare(b.At) })
-	return breaks
+	found = append(found, r.checkAnswers()...)
+	found = append(found, r.checkDrains()...)
+	found = append(found, r.checkRetryAfter()...)
+	slices.SortFunc(found, func(a, b Violation) int { return a.At.Compare(b.At) })
+	return found
 }
 
-// join brings together what was seen of each message.
-func (r *records) join() map[string]*message {
-	all := map[string]*message{}
-	for _, h := range r.handed {
-		all[h.ID] = &message{handed: h}
+// messagesByID joins the records of each message.
+func (r *records) messagesByID() map[string]*message {
+	messages := map[string]*message{}
+	for _, request := range r.requests {
+		messages[request.ID] = &message{request: request}
 	}
-	for _, c := range r.w.calls {
+	for _, c := range r.watcher.calls {
 		for _, id := range c.IDs {
-			m := all[id]
+			m := messages[id]
 			if m == nil {
 				continue
 			}
 			m.calls = append(m.calls, c)
-			if c.what == rules.OK && c.Outcome == "served" && m.delivered.IsZero() {
+			if c.result == rules.OK && c.Outcome == "served" && m.delivered.IsZero() {
 				m.delivered = c.EndedAt
 			}
 		}
 	}
 	for _, list := range r.notices {
 		for _, n := range list {
-			var x struct{ Ref string }
-			if json.Unmarshal([]byte(n.Line), &x) == nil && all[x.Ref] != nil && all[x.Ref].noticed.IsZero() {
-				all[x.Ref].noticed = n.At
+			var notice struct{ Ref string }
+			if json.Unmarshal([]byte(n.Line), &notice) != nil {
+				continue
+			}
+			if m := messages[notice.Ref]; m != nil && m.noticed.IsZero() {
+				m.noticed = n.At
 			}
 		}
 	}
-	return all
+	return messages
 }
 
-// taken tells whether the answer to a request means that the sender owes the message its end.
-func taken(h live.RequestRecord) bool { return h.Status == 200 || h.Status == 202 }
+// accepted reports whether the sender accepted the message, and so has to finish it.
+func accepted(r live.RequestRecord) bool {
+	return r.Status == http.StatusOK || r.Status == http.StatusAccepted
+}
 
-// lost holds rule 1 for a message that was taken on.
-func (r *records) lost(id string, m *message) []Violation {
-	if !taken(m.handed) {
+// checkFinished checks rule 1 for one message: an accepted message is delivered or gets a notice in time.
+func (r *records) checkFinished(id string, m *message) []Violation {
+	if !accepted(m.request) {
 		return nil
 	}
-	due := r.dueBy(m.handed.Sender, m.handed.Deadline.Add(lostAfter))
-	end := m.delivered
-	if end.IsZero() || !m.noticed.IsZero() && m.noticed.Before(end) {
-		end = m.noticed
+	due := r.extendForRestarts(m.request.Sender, m.request.Deadline.Add(finishSlack))
+	finished := m.delivered
+	if finished.IsZero() || !m.noticed.IsZero() && m.noticed.Before(finished) {
+		finished = m.noticed
 	}
+	violation := Violation{Rule: judge.LostMessage.String(), Sender: m.request.Sender, ID: id}
 	switch {
-	case end.IsZero() && r.ended.After(due):
-		return []Violation{{judge.LostMessage.String(), due, m.handed.Sender, id, fmt.Sprintf("taken at %s, due %s, never ended; %d calls", stamp(m.handed.Over), stamp(m.handed.Deadline), len(m.calls))}}
-	case !end.IsZero() && end.After(due):
-		return []Violation{{judge.LostMessage.String(), end, m.handed.Sender, id, fmt.Sprintf("ended %v after its time", end.Sub(m.handed.Deadline).Round(time.Millisecond))}}
+	case finished.IsZero() && r.endedAt.After(due):
+		violation.At = due
+		violation.Text = fmt.Sprintf("taken at %s, due %s, never ended; %d calls",
+			clockTime(m.request.Over), clockTime(m.request.Deadline), len(m.calls))
+	case !finished.IsZero() && finished.After(due):
+		violation.At = finished
+		violation.Text = fmt.Sprintf("ended %v after its time", finished.Sub(m.request.Deadline).Round(time.Millisecond))
+	default:
+		return nil
 	}
-	return nil
+	return []Violation{violation}
 }
 
-// dueBy is when a sender's end of a message is overdue: not from the signal of a restart until some time after it is ready again.
-func (r *records) dueBy(sender int, due time.Time) time.Time {
-	spans := r.lives[sender]
+// extendForRestarts returns the time by which a sender must have finished a message that is due at the given time. A
+// message that falls due between the signal that stops a process and the end of the next process's grace is due at that
+// end.
+func (r *records) extendForRestarts(sender int, due time.Time) time.Time {
+	spans := r.processes[sender]
 	for i, s := range spans {
-		stopped := s.asked
+		stopped := s.stopRequested
 		if stopped.IsZero() {
-			stopped = s.ended
+			stopped = s.exited
 		}
 		if stopped.IsZero() || stopped.After(due) || i+1 == len(spans) {
 			continue
 		}
-		if back := spans[i+1].ready; back.IsZero() || back.Add(restartGrace).After(due) {
-			due = back.Add(restartGrace)
-			if back.IsZero() {
-				due = r.ended
-			}
+		nextReady := spans[i+1].ready
+		switch {
+		case nextReady.IsZero():
+			due = r.endedAt
+		case nextReady.Add(restartGrace).After(due):
+			due = nextReady.Add(restartGrace)
 		}
 	}
 	return due
 }
 
-// doubled holds rule 2: no further call of a message that must not run twice, unless each one before is known not to have run.
-func (r *records) doubled(id string, m *message) []Violation {
-	class := r.s.Classes[m.handed.Class]
+// checkRepeats checks rule 2 for one message: a message that must not take effect twice is not called again unless
+// every earlier call is known to have had no effect.
+func (r *records) checkRepeats(id string, m *message) []Violation {
+	class := r.scenario.Classes[m.request.Class]
 	for i, c := range m.calls {
-		for _, before := range m.calls[:i] {
-			mayRun := before.EndedAt.IsZero() || before.EndedAt.After(c.ReceivedAt) || before.Outcome != "refused"
-			late := c.ReceivedAt.Sub(before.ReceivedAt) > class.Window.D()+limitSlack
-			if mayRun && (class.Effect == "once" || class.Effect == "keyed" && late) {
-				return []Violation{{judge.DoubleEffect.String(), c.ReceivedAt, c.Sender, id, fmt.Sprintf("called again %v after a call that may have run (%s)", c.ReceivedAt.Sub(before.ReceivedAt).Round(time.Millisecond), before.Outcome)}}
+		for _, earlier := range m.calls[:i] {
+			mayHaveRun := earlier.EndedAt.IsZero() || earlier.EndedAt.After(c.ReceivedAt) || earlier.Outcome != "refused"
+			gap := c.ReceivedAt.Sub(earlier.ReceivedAt)
+			outsideWindow := gap > class.Window.D()+limitSlack
+			if mayHaveRun && (class.Effect == "once" || class.Effect == "keyed" && outsideWindow) {
+				return []Violation{{
+					Rule:   judge.DoubleEffect.String(),
+					At:     c.ReceivedAt,
+					Sender: c.Sender,
+					ID:     id,
+					Text: fmt.Sprintf("called again %v after a call that may have run (%s)",
+						gap.Round(time.Millisecond), earlier.Outcome),
+				}}
 			}
 		}
 	}
 	return nil
 }
 
-// unanswered finds requests that were written whole and whose connection ended with no answer, though the sender lived on.
-func (r *records) unanswered() (breaks []Violation) {
-	for _, h := range r.handed {
-		if h.Status != 0 || h.TimedOut || !h.Written || r.killedBetween(h.Sender, h.Begun, h.Over) {
+// checkAnswers checks that a request which was written whole gets a response, unless the client stopped waiting or the
+// sender's process exited meanwhile.
+func (r *records) checkAnswers() []Violation {
+	var found []Violation
+	for _, request := range r.requests {
+		if request.Status != 0 || request.TimedOut || !request.Written ||
+			r.exitedBetween(request.Sender, request.Begun, request.Over) {
 			continue
 		}
-		breaks = append(breaks, Violation{judge.LostMessage.String(), h.Over, h.Sender, h.ID, "read, and its connection ended with no answer"})
+		found = append(found, Violation{
+			Rule:   judge.LostMessage.String(),
+			At:     request.Over,
+			Sender: request.Sender,
+			ID:     request.ID,
+			Text:   "read, and its connection ended with no answer",
+		})
 	}
-	return breaks
+	return found
 }
 
-// killedBetween tells whether a process of the sender ended, or was not there, within a span.
-func (r *records) killedBetween(sender int, from, to time.Time) bool {
-	return slices.ContainsFunc(r.lives[sender], func(s span) bool {
-		return !s.ended.IsZero() && !s.ended.Before(from.Add(-killSlack)) && !s.ended.After(to.Add(killSlack))
+// exitedBetween reports whether a process of the sender exited between two times.
+func (r *records) exitedBetween(sender int, from, to time.Time) bool {
+	return slices.ContainsFunc(r.processes[sender], func(s processSpan) bool {
+		return !s.exited.IsZero() && !s.exited.Before(from.Add(-signalSlack)) && !s.exited.After(to.Add(signalSlack))
 	})
 }
 
-// drained holds rule 3.
-func (r *records) drained() (breaks []Violation) {
-	grace := r.s.Rules.DrainGrace.D() + limitSlack
-	for _, c := range r.w.calls {
-		if told, yes := r.w.drained[c.Endpoint]; yes && c.ReceivedAt.After(told.Add(grace)) {
-			breaks = append(breaks, Violation{judge.DrainIgnored.String(), c.ReceivedAt, c.Sender, c.IDs[0], fmt.Sprintf("sent to endpoint %d %v after it was told of", c.Endpoint, c.ReceivedAt.Sub(told))})
+// checkDrains checks rule 3: no call goes to an endpoint once it has been listed as draining or gone for the grace.
+func (r *records) checkDrains() []Violation {
+	var found []Violation
+	grace := r.scenario.Rules.DrainGrace.D() + limitSlack
+	for _, c := range r.watcher.calls {
+		listedAt, drained := r.watcher.drainedSince[c.Endpoint]
+		if !drained || !c.ReceivedAt.After(listedAt.Add(grace)) {
+			continue
 		}
+		found = append(found, Violation{
+			Rule:   judge.DrainIgnored.String(),
+			At:     c.ReceivedAt,
+			Sender: c.Sender,
+			ID:     c.IDs[0],
+			Text:   fmt.Sprintf("sent to endpoint %d %v after it was told of", c.Endpoint, c.ReceivedAt.Sub(listedAt)),
+		})
 	}
-	return breaks
+	return found
 }
 
-// hasty holds rule 6: a restart ends a wait.
-func (r *records) hasty() (breaks []Violation) {
-	type from struct{ sender, unit int }
-	waits := map[from]*call{}
-	calls := slices.Clone(r.w.calls)
+// checkRetryAfter checks rule 6: a sender makes no call to a unit before the end of a retry-after. A restart of the
+// sender ends the retry-after.
+func (r *records) checkRetryAfter() []Violation {
+	type route struct{ sender, unit int }
+	var found []Violation
+	refusals := map[route]*call{} // the latest refusal with a retry-after
+	calls := slices.Clone(r.watcher.calls)
 	slices.SortStableFunc(calls, func(a, b *call) int { return a.ReceivedAt.Compare(b.ReceivedAt) })
 	for i, c := range calls {
-		for j := i - 1; j >= 0 && j > i-400; j-- { // a wait lasts seconds; this many calls back is longer
-			if b := calls[j]; b.RetryAfterMs > 0 && b.Sender == c.Sender && b.Unit == c.Unit && !b.EndedAt.IsZero() {
-				waits[from{b.Sender, b.Unit}] = b
+		for j := i - 1; j >= 0 && j > i-maxRefusalDistance; j-- {
+			earlier := calls[j]
+			if earlier.RetryAfterMs > 0 && earlier.Sender == c.Sender && earlier.Unit == c.Unit && !earlier.EndedAt.IsZero() {
+				refusals[route{earlier.Sender, earlier.Unit}] = earlier
 				break
 			}
 		}
-		w := waits[from{c.Sender, c.Unit}]
-		if w == nil || !c.ReceivedAt.After(w.EndedAt.Add(waitSlack)) || !c.ReceivedAt.Before(w.EndedAt.Add(time.Duration(w.RetryAfterMs)*time.Millisecond-limitSlack)) {
+		refusal := refusals[route{c.Sender, c.Unit}]
+		if refusal == nil {
 			continue
 		}
-		if !r.killedBetween(c.Sender, w.EndedAt, c.ReceivedAt) {
-			breaks = append(breaks, Violation{judge.RetryAfterIgnored.String(), c.ReceivedAt, c.Sender, c.IDs[0], fmt.Sprintf("sent %v into a wait of %d ms", c.ReceivedAt.Sub(w.EndedAt), w.RetryAfterMs)})
+		from := refusal.EndedAt.Add(retryAfterSlack)
+		to := refusal.EndedAt.Add(time.Duration(refusal.RetryAfterMs)*time.Millisecond - limitSlack)
+		if !c.ReceivedAt.After(from) || !c.ReceivedAt.Before(to) {
+			continue
+		}
+		if r.exitedBetween(c.Sender, refusal.EndedAt, c.ReceivedAt) {
+			continue
 		}
+		found = append(found, Violation{
+			Rule:   judge.RetryAfterIgnored.String(),
+			At:     c.ReceivedAt,
+			Sender: c.Sender,
+			ID:     c.IDs[0],
+			Text:   fmt.Sprintf("sent %v into a wait of %d ms", c.ReceivedAt.Sub(refusal.EndedAt), refusal.RetryAfterMs),
+		})
 	}
-	return breaks
+	return found
 }
 
-func stamp(t time.Time) string { return t.Format("15:04:05.000") }
+func clockTime(t time.Time) string { return t.Format("15:04:05.000") }
--- a/lab/rig/plan.go
+++ b/lab/rig/plan.go
@@ -1,6 +1,7 @@
-// Package rig plays faults against a fleet of real daemons on loopback addresses: processes, receivers that break as the
-// lab's model does, clients that keep their connections, signals, and a judge that holds all six rules by what clients and
-// receivers saw. It owns every process that it starts and ends it; it must never ask a sender whether a rule was kept.
+// Package rig runs a fleet of real daemons as processes on loopback addresses and injects faults: receivers that fail
+// as the lab's model does, clients that keep their connections, and signals. It checks all six rules by what clients
+// and receivers observed. It owns every process that it starts, and ends it; it must never ask a sender whether a rule
+// was kept.
 package rig
 
 import (
@@ -23,27 +24,27 @@
 
 // Plan is a plan file.
 type Plan struct {
-	Name      string             `toml:"name"`     // of the plan, for reports
+	Name      string             `toml:"name"`     // used in the names of result directories
 	Scenario  string             `toml:"scenario"` // file of the scenario, relative to the plan's
-	Settle    scenario.Duration  `toml:"settle"`   // wait after the last deadline, for what is still on its way
-	IdleConns int                `toml:"crowd"`    // connections that clients hold open to each sender and use for nothing
-	Set       map[string]string  `toml:"set"`      // keys of the scenario that the plan changes
+	Settle    scenario.Duration  `toml:"settle"`   // wait after the last deadline, for calls and notices still under way
+	IdleConns int                `toml:"crowd"`    // connections that clients hold open to each sender without using them
+	Set       map[string]string  `toml:"set"`      // keys of the scenario that the plan overrides
 	Faults    []scenario.Trouble `toml:"fault"`    // troubles of receivers and clients
 	Signals   []Signal           `toml:"signal"`
-	Draw      Draw               `toml:"draw"` // what each seed draws beside the stated faults and signals
+	Draw      Draw               `toml:"draw"` // what each seed draws in addition to Faults and Signals
 }
 
-// Signal is something done to sender processes.
+// Signal is sent to sender processes, or kills and restarts them.
 type Signal struct {
 	Kind string            `toml:"kind"` // kill, term, stop or hangup
 	At   scenario.Duration `toml:"at"`
-	Part float64           `toml:"part"` // share of the senders, at least one
+	Part float64           `toml:"part"` // share of the senders, rounded, but at least one sender
 	Gap  scenario.Duration `toml:"gap"`  // from one sender to the next
 	Down scenario.Duration `toml:"down"` // kill and term: from the kill to the next start
-	For  scenario.Duration `toml:"for"`  // stop: until the process may go on; term: until the kill
+	For  scenario.Duration `toml:"for"`  // stop: until SIGCONT; term: until the kill
 }
 
-// Draw bounds what a seed draws.
+// Draw is what a seed draws: numbers of faults and signals, the kinds of the faults, and the ranges of their times.
 type Draw struct {
 	Faults   int               `toml:"faults"`
 	Kinds    []string          `toml:"kinds"`
@@ -54,30 +55,52 @@
 	Longest  scenario.Duration `toml:"longest"`
 }
 
-// Bounds of a plan. The protocol lets a kill follow SIGTERM after 3.7 s at the earliest, and a start a kill after 0.6 s.
+// Values of Signal.Kind.
 const (
-	earliestKill  = 3700 * time.Millisecond
-	usualDown     = 600 * time.Millisecond
-	longestStop   = 150 * time.Millisecond
-	mostSenders   = 200
-	senderMemory  = 48 << 20 // bytes, on the high side
-	senderFiles   = 80       // descriptors of this process for one sender, beside its doors
-	ownFiles      = 400
-	signalKill    = "kill"
-	signalTerm    = "term"
-	signalStop    = "stop"
-	signalHangup  = "hangup"
+	signalKill   = "kill"
+	signalTerm   = "term"
+	signalStop   = "stop"
+	signalHangup = "hangup"
+)
+
+// Limits of a plan. The protocol allows the kill 3.7 s after SIGTERM at the earliest, and the next start 0.6 s after a
+// kill.
+const (
+	minTermToKill = 3700 * time.Millisecond
+	minDown       = 600 * time.Millisecond
+	maxStop       = 150 * time.Millisecond
+	maxSenders    = 200
 	defaultSettle = time.Second
 )
 
-// ErrPlan is wrapped by every fault of a plan.
+// Estimated resources of a run, on the high side.
+const (
+	memoryPerSender      = 48 << 20 // bytes
+	descriptorsPerSender = 80       // of this process, beside idle connections and listeners
+	ownDescriptors       = 400
+)
+
+// Ranges of what a seed draws.
+const (
+	minSignalPart   = 0.05
+	signalPartRange = 0.4
+	maxSignalGap    = 200 * time.Millisecond
+	minFaultPart    = 0.1
+	faultPartRange  = 0.3
+	minErrorShare   = 0.5 // of calls that fail, or of answers that are lost
+	errorShareRange = 0.5
+	minSlowdown     = 5
+	slowdownRange   = 10
+)
+
+// ErrInvalidPlan is wrapped by every error in a plan.
 var ErrInvalidPlan = errors.New("bad plan")
 
 func planError(key, format string, args ...any) error {
 	return fmt.Errorf("%w: %s: %s", ErrInvalidPlan, key, fmt.Sprintf(format, args...))
 }
 
-// Load reads a plan and its scenario. An unknown key, a fault without an end and an impossible value are refused.
+// Load reads a plan and its scenario. It refuses unknown keys, values out of range and faults that do not end.
 func Load(path string) (*Plan, *scenario.Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -111,10 +134,10 @@
 			return planError(key+".for", "%v: a fault needs an end", f.For.D())
 		}
 		if !slices.Contains(scenario.TroubleKinds(), f.Kind) || f.Kind == "restart" {
-			return planError(key+".kind", "%q is none that receivers or clients play", f.Kind)
+			return planError(key+".kind", "%q is not a kind that receivers or clients play", f.Kind)
 		}
-		if !(f.Part > 0 && f.Part <= 1) {
-			return planError(key+".part", "%v: more than 0 and at most 1 is expected", f.Part)
+		if !isShare(f.Part) {
+			return planError(key+".part", "%v: expected more than 0 and at most 1", f.Part)
 		}
 	}
 	for i, x := range p.Signals {
@@ -125,61 +148,73 @@
 	if d := p.Draw; d.Faults > 0 && (len(d.Kinds) == 0 || d.Shortest <= 0 || d.Longest < d.Shortest) {
 		return planError("draw", "faults need kinds, and shortest and longest above 0")
 	}
-	if n := s.Senders.Count; n < 1 || n > mostSenders {
-		return planError("senders.count", "%d: 1 to %d processes are expected", n, mostSenders)
+	if n := s.Senders.Count; n < 1 || n > maxSenders {
+		return planError("senders.count", "%d: expected 1 to %d processes", n, maxSenders)
 	}
 	return nil
 }
 
+// isShare reports whether a part is above 0 and at most 1.
+func isShare(part float64) bool { return part > 0 && part <= 1 }
+
 func (x Signal) check(key string) error {
 	switch {
 	case !slices.Contains([]string{signalKill, signalTerm, signalStop, signalHangup}, x.Kind):
-		return planError(key+".kind", "%q: kill, term, stop or hangup is expected", x.Kind)
-	case !(x.Part > 0 && x.Part <= 1):
-		return planError(key+".part", "%v: more than 0 and at most 1 is expected", x.Part)
-	case x.Kind == signalStop && (x.For <= 0 || x.For.D() > longestStop):
-		return planError(key+".for", "%v: more than 0 and at most %v is expected", x.For.D(), longestStop)
-	case x.Kind == signalTerm && x.For.D() < earliestKill:
-		return planError(key+".for", "%v: the kill comes %v after SIGTERM at the earliest", x.For.D(), earliestKill)
+		return planError(key+".kind", "%q: expected kill, term, stop or hangup", x.Kind)
+	case !isShare(x.Part):
+		return planError(key+".part", "%v: expected more than 0 and at most 1", x.Part)
+	case x.Kind == signalStop && (x.For <= 0 || x.For.D() > maxStop):
+		return planError(key+".for", "%v: expected more than 0 and at most %v", x.For.D(), maxStop)
+	case x.Kind == signalTerm && x.For.D() < minTermToKill:
+		return planError(key+".for", "%v: expected at least %v from SIGTERM to the kill", x.For.D(), minTermToKill)
 	}
 	return nil
 }
 
-// Fits tells why a machine has no room for a plan, nil if it has.
+// CheckResources returns an error if a machine lacks the memory or the file descriptors for a plan.
 func (p *Plan) CheckResources(s *scenario.Scenario, m scale.Machine) error {
 	n := s.Senders.Count
-	if need := int64(n) * senderMemory; need > m.Memory/2 {
-		return planError("senders.count", "%d, which needs some %d MB; half of this machine's memory is %d MB", n, need>>20, m.Memory/2>>20)
+	if need := int64(n) * memoryPerSender; need > m.Memory/2 {
+		return planError("senders.count", "%d, which needs about %d MB; half of this machine's memory is %d MB",
+			n, need>>20, m.Memory/2>>20)
 	}
 	endpoints := 0
 	for _, k := range s.Kinds {
 		endpoints += k.Destinations * slices.Max(k.Endpoints)
 	}
-	if need := ownFiles + n*(senderFiles+p.IdleConns+endpoints); need > m.Descriptors {
-		return planError("senders.count", "%d before %d endpoints, which needs %d descriptors; the limit is %d (ulimit -n)", n, endpoints, need, m.Descriptors)
+	if need := ownDescriptors + n*(descriptorsPerSender+p.IdleConns+endpoints); need > m.Descriptors {
+		return planError("senders.count", "%d with %d endpoints, which needs %d descriptors; the limit is %d (ulimit -n)",
+			n, endpoints, need, m.Descriptors)
 	}
 	return nil
 }
 
-// drawn adds what a seed draws to the stated faults and signals.
-func (p *Plan) drawn(seed uint64) (faults []scenario.Trouble, signals []Signal) {
+// drawFaultsAndSignals returns the plan's faults and signals and those that a seed draws.
+func (p *Plan) drawFaultsAndSignals(seed uint64) (faults []scenario.Trouble, signals []Signal) {
 	faults, signals = slices.Clone(p.Faults), slices.Clone(p.Signals)
 	r := random.Stream(seed, "rig", 0)
-	between := func(from, to scenario.Duration) scenario.Duration {
+	drawBetween := func(from, to scenario.Duration) scenario.Duration {
 		return from + scenario.Duration(r.Float64()*float64(to-from))
 	}
 	for range p.Draw.Faults {
-		faults = append(faults, drawFault(r, p.Draw.Kinds[r.IntN(len(p.Draw.Kinds))],
-			between(p.Draw.From, p.Draw.To), between(p.Draw.Shortest, p.Draw.Longest)))
+		kind := p.Draw.Kinds[r.IntN(len(p.Draw.Kinds))]
+		at := drawBetween(p.Draw.From, p.Draw.To)
+		length := drawBetween(p.Draw.Shortest, p.Draw.Longest)
+		faults = append(faults, drawFault(r, kind, at, length))
 	}
 	for range p.Draw.Signals {
-		x := Signal{Kind: []string{signalKill, signalTerm, signalStop, signalHangup}[r.IntN(4)], At: between(p.Draw.From, p.Draw.To),
-			Part: 0.05 + 0.4*r.Float64(), Gap: scenario.Duration(r.Float64() * float64(200*time.Millisecond)), Down: scenario.Duration(usualDown)}
+		x := Signal{
+			Kind: []string{signalKill, signalTerm, signalStop, signalHangup}[r.IntN(4)],
+			At:   drawBetween(p.Draw.From, p.Draw.To),
+			Part: minSignalPart + signalPartRange*r.Float64(),
+			Gap:  scenario.Duration(r.Float64() * float64(maxSignalGap)),
+			Down: scenario.Duration(minDown),
+		}
 		switch x.Kind {
 		case signalTerm:
-			x.For = scenario.Duration(earliestKill)
+			x.For = scenario.Duration(minTermToKill)
 		case signalStop:
-			x.For = scenario.Duration(longestStop)
+			x.For = scenario.Duration(maxStop)
 		}
 		signals = append(signals, x)
 	}
@@ -187,12 +222,18 @@
 }
 
 func drawFault(r *rand.Rand, kind string, at, length scenario.Duration) scenario.Trouble {
-	f := scenario.Trouble{Kind: kind, At: at, For: length, Part: 0.1 + 0.3*r.Float64(), By: "destination"}
+	f := scenario.Trouble{
+		Kind: kind,
+		At:   at,
+		For:  length,
+		Part: minFaultPart + faultPartRange*r.Float64(),
+		By:   "destination",
+	}
 	switch kind {
 	case "errors", "lost_answers":
-		f.Size = 0.5 + 0.5*r.Float64()
+		f.Size = minErrorShare + errorShareRange*r.Float64()
 	case "slow":
-		f.Size = 5 + 10*r.Float64()
+		f.Size = minSlowdown + slowdownRange*r.Float64()
 	}
 	return f
 }
--- a/lab/rig/rig_test.go
+++ b/lab/rig/rig_test.go
@@ -17,7 +17,8 @@
 	"eiderhaven/lab/scenario"
 )
 
-var buildOnce = sync.OnceValues(func() (string, error) {
+// buildDaemon builds the daemon once for all tests and returns its path.
+var buildDaemon = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "eiderlab-rig-test-")
 	if err != nil {
 		return "", err
@@ -32,16 +33,16 @@
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	if path, err := buildOnce(); err == nil {
+	if path, err := buildDaemon(); err == nil {
 		os.RemoveAll(filepath.Dir(path))
 	}
 	os.Exit(code)
 }
 
-// play runs a plan with a seed and fails the test for whatever is broken.
-func play(t *testing.T, plan string, seed uint64) *Result {
+// playSeed plays a plan with a seed, and fails the test for each violation.
+func playSeed(t *testing.T, plan string, seed uint64) *Result {
 	t.Helper()
-	program, err := buildOnce()
+	program, err := buildDaemon()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,46 +54,51 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("seed %d: %d handed in, %d taken, %d outages, %d fallen, signals %v, clients late by %.1f ms, receivers by %.1f", seed, r.Submitted, r.Accepted, r.Outages, len(r.Overloads), r.Signals, r.ClientDelayP99Ms, r.ReceiverLagMs)
-	for _, b := range r.Violations {
-		t.Errorf("seed %d: %s rule %s, sender %d, message %s: %s", seed, b.At.Format("15:04:05.000"), b.Rule, b.Sender, b.ID, b.Text)
+	t.Logf("seed %d: %d submitted, %d accepted, %d outages, %d overloads, signals %v, "+
+		"clients late by %.1f ms, receivers by %.1f ms",
+		seed, r.Submitted, r.Accepted, r.Outages, len(r.Overloads), r.Signals, r.ClientDelayP99Ms, r.ReceiverLagMs)
+	for _, v := range r.Violations {
+		t.Errorf("seed %d: %s rule %s, sender %d, message %s: %s",
+			seed, v.At.Format("15:04:05.000"), v.Rule, v.Sender, v.ID, v.Text)
 	}
 	if r.Accepted < 500 || r.Outages == 0 {
-		t.Errorf("seed %d: %d taken, %d outages: too few to tell anything", seed, r.Accepted, r.Outages)
+		t.Errorf("seed %d: %d messages accepted, %d outages: too few for this test", seed, r.Accepted, r.Outages)
 	}
 	return r
 }
 
-// TestAFleetMeetsColdReturns is the incident on real processes: forty-one senders, and destinations that come back cold after a
-// crash (seed 2) and after a hang (seed 3).
-func TestAFleetMeetsColdReturns(t *testing.T) {
+// Forty-one senders keep the rules while destinations recover with reduced capacity, after a crash (seed 2) and after a
+// hang (seed 3). Senders that all resume at full rate would overload such a destination again.
+func TestFleetKeepsRulesInColdRecovery(t *testing.T) {
 	for _, seed := range []uint64{2, 3} {
-		play(t, "../plans/rig-short.toml", seed)
+		playSeed(t, "../plans/rig-short.toml", seed)
 	}
 }
 
-// TestASoak plays one seed of the soak: drawn outages, and signals in series while clients use the connections that stay open.
-func TestASoak(t *testing.T) {
-	r := play(t, "../plans/rig-soak.toml", 1001)
+// One seed of the soak plan: drawn outages and a series of signals, while clients keep using the connections that stay
+// open.
+func TestSoakSeed(t *testing.T) {
+	r := playSeed(t, "../plans/rig-soak.toml", 1001)
 	if r.Signals["kill"] == 0 || r.Signals["term"] == 0 || r.Signals["hangup"] == 0 {
-		t.Errorf("signals %v: want some of each that the seed draws", r.Signals)
+		t.Errorf("signals %v: want some of each kind that the seed draws", r.Signals)
 	}
 }
 
-// TestSoakSeedsThatBroke plays the three seeds of the first 56 on which rule 4 was broken: errors of a part of the calls (1005),
-// a hang of several endpoints whose calls were given up for their slots (1020), and answers that are lost (1064).
+// Three seeds of the first 56 broke rule 4: errors of some of the calls (1005), a hang of several endpoints whose calls
+// were cancelled to free their slots (1020), and lost answers (1064).
 func TestSoakSeedsThatBroke(t *testing.T) {
 	for _, seed := range []uint64{1005, 1020, 1064} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			play(t, "../plans/rig-soak.toml", seed)
+			playSeed(t, "../plans/rig-soak.toml", seed)
 		})
 	}
 }
 
-// TestAnInterruptedRigLeavesNothing ends a run in its first seconds: no process and no folder of it is left.
-func TestAnInterruptedRigLeavesNothing(t *testing.T) {
-	program, err := buildOnce()
+// A run whose context ends in its first seconds leaves no process and no directory behind, and its result has the
+// margins of the outages that ended.
+func TestInterruptedRunCleansUp(t *testing.T) {
+	program, err := buildDaemon()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -104,16 +110,17 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	p.Draw.Faults = 0
-	p.Faults = []scenario.Trouble{{Kind: "crash", At: 1, For: 2, Part: 0.1, By: "destination"}} // back at once
+	p.Faults = []scenario.Trouble{{Kind: "crash", At: 1, For: 2, Part: 0.1, By: "destination"}} // ends after 2 ns
 	var pids []int
-	var folder string
-	r, err := Run(ctx, p, s, Options{Program: program, Seed: 1, started: func(pid int, dir string) {
-		if pids, folder = append(pids, pid), dir; len(pids) == 5 {
+	var dir string
+	r, err := Run(ctx, p, s, Options{Program: program, Seed: 1, onReady: func(pid int, runDir string) {
+		pids, dir = append(pids, pid), runDir
+		if len(pids) == 5 {
 			time.AfterFunc(time.Second, cancel)
 		}
 	}})
 	if r == nil || r.Outages != 4 || len(r.Margins) != 4 {
-		t.Errorf("%+v, want the margins of four returns", r)
+		t.Errorf("%+v, want four outages with their margins", r)
 	}
 	if !errors.Is(err, context.Canceled) || len(pids) != 5 {
 		t.Fatalf("%v, %d processes", err, len(pids))
@@ -123,12 +130,12 @@
 			t.Errorf("process %d: %v, want it gone", pid, err)
 		}
 	}
-	if _, err := os.Stat(folder); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("folder %s: %v, want it gone", folder, err)
+	if _, err := os.Stat(dir); !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("directory %s: %v, want it gone", dir, err)
 	}
 }
 
-func TestBadPlans(t *testing.T) {
+func TestInvalidPlans(t *testing.T) {
 	good, err := os.ReadFile("../plans/rig-slow-start.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -136,14 +143,17 @@
 	for _, c := range []struct{ old, new, want string }{
 		{`part = 0.33`, "part = 0.33\nwidth = 3", "fault.width: no such key"},
 		{`for = "7190ms"`, `for = "0s"`, "fault.0.for: 0s: a fault needs an end"},
-		{`kind = "crash"`, `kind = "earthquake"`, `fault.0.kind: "earthquake" is none`},
-		{`kind = "kill"`, `kind = "term"`, "signal.0.for: 0s: the kill comes 3.7s after SIGTERM at the earliest"},
-		{`kind = "kill"`, "kind = \"stop\"\nfor = \"2s\"", "signal.0.for: 2s: more than 0 and at most 150ms"},
-		{`"senders.count" = "41"`, `"senders.count" = "4100"`, "senders.count: 4100: 1 to 200 processes are expected"},
+		{`kind = "crash"`, `kind = "earthquake"`, `fault.0.kind: "earthquake" is not a kind that receivers or clients play`},
+		{`kind = "kill"`, `kind = "term"`, "signal.0.for: 0s: expected at least 3.7s from SIGTERM to the kill"},
+		{`kind = "kill"`, "kind = \"stop\"\nfor = \"2s\"", "signal.0.for: 2s: expected more than 0 and at most 150ms"},
+		{`"senders.count" = "41"`, `"senders.count" = "4100"`, "senders.count: 4100: expected 1 to 200 processes"},
 		{`"senders.count" = "41"`, `"senders.cuont" = "41"`, "set.senders.cuont"},
 	} {
 		path := filepath.Join(t.TempDir(), "plan.toml")
-		text := strings.Replace(strings.Replace(string(good), c.old, c.new, 1), "../scenarios", must(t, filepath.Abs, "../scenarios"), 1)
+		scenarios := mustCall(t, filepath.Abs, "../scenarios")
+		text := strings.Replace(string(good), c.old, c.new, 1)
+		text = strings.Replace(text, "../scenarios", scenarios, 1)
+		// The plan's path of the scenario is relative to the plan: go up to the root first.
 		text = strings.Replace(text, `scenario = "`, `scenario = "`+strings.Repeat("../", strings.Count(path, "/")-1)+"..", 1)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -154,7 +164,7 @@
 	}
 }
 
-func must(t *testing.T, f func(string) (string, error), arg string) string {
+func mustCall(t *testing.T, f func(string) (string, error), arg string) string {
 	t.Helper()
 	out, err := f(arg)
 	if err != nil {
@@ -163,8 +173,9 @@
 	return out
 }
 
-// TestAPlanThatDoesNotFitIsRefused names the key and the reason before anything starts.
-func TestAPlanThatDoesNotFitIsRefused(t *testing.T) {
+// A plan that needs more memory or descriptors than the machine has is refused before anything starts, with the key and
+// the figures.
+func TestPlanExceedingResourcesIsRefused(t *testing.T) {
 	p, s, err := Load("../plans/rig-slow-start.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -173,8 +184,10 @@
 		m    scale.Machine
 		want string
 	}{
-		{scale.Machine{Memory: 1 << 30, Descriptors: 20_000}, "senders.count: 41, which needs some 1968 MB; half of this machine's memory is 512 MB"},
-		{scale.Machine{Memory: 64 << 30, Descriptors: 1024}, "senders.count: 41 before 40 endpoints, which needs 5320 descriptors; the limit is 1024"},
+		{scale.Machine{Memory: 1 << 30, Descriptors: 20_000},
+			"senders.count: 41, which needs about 1968 MB; half of this machine's memory is 512 MB"},
+		{scale.Machine{Memory: 64 << 30, Descriptors: 1024},
+			"senders.count: 41 with 40 endpoints, which needs 5320 descriptors; the limit is 1024"},
 	} {
 		if err := p.CheckResources(s, c.m); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%v, want %q", err, c.want)
--- a/lab/rig/run.go
+++ b/lab/rig/run.go
@@ -1,4 +1,5 @@
-// This file owns a run: what is started in which order, the signals, and the end of it all.
+// This file owns a run: the order in which receivers, senders and clients are started, the signals, and the end of all
+// of them. It must never leave a process or a temporary directory behind.
 
 package rig
 
@@ -21,52 +22,56 @@
 	"eiderhaven/standin/platform"
 )
 
-// Options are what a run is given beside its plan.
+// bodyBytes is the size of the messages that clients submit.
+const bodyBytes = 100
+
+// Options configure a run beside its plan.
 type Options struct {
-	Program    string // the daemon
+	Program    string // the daemon's executable
 	Seed       uint64
-	Log        func(line string)
-	RecordsDir string // folder for the records of a run in which something broke; empty: none are kept
+	Log        func(line string) // may be nil
+	RecordsDir string            // for the records of a run with violations; empty: none are written
 
-	started func(pid int, dir string) // told of each process that is ready; for tests
+	onReady func(pid int, dir string) // for tests: called for each process once all are ready
 }
 
-// Result is what came of a run.
+// Result holds the violations and totals of a run.
 type Result struct {
 	Seed             uint64         `json:"seed"`
 	Violations       []Violation    `json:"breaks"`
-	Overloads        []fall         `json:"falls"`
+	Overloads        []overload     `json:"falls"` // during recovery, also those that break no rule
 	Outages          int            `json:"outages"`
-	Margins          []float64      `json:"margins"` // of each cold return, see package margin
+	Margins          []float64      `json:"margins"` // of each outage that ended, see package margin
 	Accepted         int            `json:"taken"`
 	Submitted        int            `json:"handed"`
-	Signals          map[string]int `json:"signals"`
+	Signals          map[string]int `json:"signals"` // by kind
 	ReceiverCounts   live.Counts    `json:"receivers"`
-	ClientDelayP99Ms float64        `json:"load_late_p99_ms"` // how late clients began: a busy machine's doing
-	ReceiverLagMs    float64        `json:"receivers_lag_ms"` // the longest that a call waited for the receivers: likewise
+	ClientDelayP99Ms float64        `json:"load_late_p99_ms"` // from planned to started requests; large on a busy machine
+	ReceiverLagMs    float64        `json:"receivers_lag_ms"` // longest wait of a call for the receivers; likewise
 }
 
-// fleet is a run under way.
+// fleet is a run in progress.
 type fleet struct {
-	plan    *Plan
-	s       *scenario.Scenario
-	o       Options
-	dir     string
-	run     int32 // number of the run in this process
-	v       *live.Receivers
-	w       *watcher
-	daemons []*daemon
-	signals []Signal
+	plan      *Plan
+	scenario  *scenario.Scenario
+	opts      Options
+	dir       string
+	runNumber int32 // from runCount
+	receivers *live.Receivers
+	watcher   *watcher
+	daemons   []*daemon
+	signals   []Signal
+	idleConns []net.Conn // held open without being used
 
-	mu      sync.Mutex
-	handed  []live.RequestRecord
-	sent    map[string]int
-	failed  []Violation
-	restful []net.Conn // connections that clients hold and use for nothing
+	mu              sync.Mutex
+	requests        []live.RequestRecord
+	signalsSent     map[string]int // by kind
+	processFailures []Violation    // failed starts and crashes
 }
 
-// Run plays a plan with a seed. It ends every process that it started, also when the context ends, and leaves no folder. A run
-// that the context ended after its start has a result without a verdict beside the error.
+// Run plays a plan with a seed. Before it returns it ends every process that it started and removes their directories,
+// also when the context ends. If the context ends after all senders were ready, the result beside the error has the
+// margins so far but no violations.
 func Run(ctx context.Context, p *Plan, s *scenario.Scenario, o Options) (*Result, error) {
 	if o.Log == nil {
 		o.Log = func(string) {}
@@ -76,29 +81,39 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	faults, signals := p.drawn(o.Seed)
-	day := *s
-	day.Troubles = faults
-	f := &fleet{run: runs.Add(1), plan: p, s: &day, o: o, dir: dir, w: newWatcher(), signals: signals, sent: map[string]int{}}
+	faults, signals := p.drawFaultsAndSignals(o.Seed)
+	withFaults := *s
+	withFaults.Troubles = faults
+	f := &fleet{
+		plan:        p,
+		scenario:    &withFaults,
+		opts:        o,
+		dir:         dir,
+		runNumber:   runCount.Add(1),
+		watcher:     newWatcher(),
+		signals:     signals,
+		signalsSent: map[string]int{},
+	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	if err := f.open(ctx); err != nil {
+	if err := f.start(ctx); err != nil {
 		return nil, err
 	}
-	defer f.close()
+	defer f.stop()
 	return f.play(ctx)
 }
 
-// open listens for receivers and starts every sender.
-func (f *fleet) open(ctx context.Context) (err error) {
-	n := f.s.Senders.Count
-	f.v, err = live.NewFleetReceivers(f.s, f.o.Seed, "127.0.0.1:0", live.FleetOptions{Senders: n, Watcher: f.w}, f.o.Log)
+// start listens for the receivers and starts all senders.
+func (f *fleet) start(ctx context.Context) (err error) {
+	n := f.scenario.Senders.Count
+	options := live.FleetOptions{Senders: n, Watcher: f.watcher}
+	f.receivers, err = live.NewFleetReceivers(f.scenario, f.opts.Seed, "127.0.0.1:0", options, f.opts.Log)
 	if err != nil {
 		return err
 	}
 	starter := process.NewStarter(ctx)
 	for i := range n {
-		d, err := f.daemon(i, starter)
+		d, err := f.newDaemon(i, starter)
 		if err != nil {
 			return err
 		}
@@ -107,26 +122,33 @@
 	var wg sync.WaitGroup
 	errs := make([]error, n)
 	for i, d := range f.daemons {
-		wg.Go(func() { errs[i] = d.start(ctx, firstStart) })
+		wg.Go(func() { errs[i] = d.start(ctx, initialStartTimeout) })
 	}
 	wg.Wait()
 	if err := errors.Join(errs...); err != nil {
-		f.close()
+		f.stop()
 		return err
 	}
 	for _, d := range f.daemons {
-		if f.o.started != nil {
-			f.o.started(d.cmd.Process.Pid, f.dir)
+		if f.opts.onReady != nil {
+			f.opts.onReady(d.cmd.Process.Pid, f.dir)
 		}
 	}
 	return nil
 }
 
-// daemon writes a sender's configuration; it has not started.
-func (f *fleet) daemon(i int, starter *process.Starter) (*daemon, error) {
-	listen := address(f.run, i)
-	d := &daemon{n: i, program: f.o.Program, dir: filepath.Join(f.dir, fmt.Sprint("n", i)), listen: listen, starter: starter}
-	text, err := live.SeededConfig(f.s, fmt.Sprint("n", i), listen, f.v.DiscoveryAddrOf(i), f.o.Seed<<16+uint64(i)+1)
+// newDaemon creates a sender's directories and writes its configuration. It starts no process.
+func (f *fleet) newDaemon(i int, starter *process.Starter) (*daemon, error) {
+	name := fmt.Sprint("n", i)
+	d := &daemon{
+		index:   i,
+		program: f.opts.Program,
+		dir:     filepath.Join(f.dir, name),
+		listen:  listenAddress(f.runNumber, i),
+		starter: starter,
+	}
+	seed := f.opts.Seed<<16 + uint64(i) + 1 // differs between all senders of all seeds
+	text, err := live.SeededConfig(f.scenario, name, d.listen, f.receivers.DiscoveryAddrOf(i), seed)
 	if err != nil {
 		return nil, err
 	}
@@ -136,9 +158,9 @@
 	return d, os.WriteFile(filepath.Join(d.dir, "config.json"), text, 0o600)
 }
 
-// close ends every process and waits for its end.
-func (f *fleet) close() {
-	for _, nc := range f.restful {
+// stop closes the idle connections, kills every process and waits until all have exited.
+func (f *fleet) stop() {
+	for _, nc := range f.idleConns {
 		nc.Close()
 	}
 	var wg sync.WaitGroup
@@ -148,103 +170,116 @@
 	wg.Wait()
 }
 
-// play hands the day in, sends the signals, waits for what is owed and judges.
+// play submits the scenario's messages and sends the signals, waits until every accepted message is due, and evaluates
+// the run.
 func (f *fleet) play(ctx context.Context) (*Result, error) {
 	var targets []string
 	for _, d := range f.daemons {
 		targets = append(targets, d.listen)
 	}
-	load, err := live.NewLoad(f.s, live.LoadOptions{Targets: targets, Seed: f.o.Seed, IDPrefix: fmt.Sprintf("r%d", f.o.Seed), BodyBytes: 100,
-		Log: f.o.Log, OnRequestEnd: func(h live.RequestRecord) {
+	load, err := live.NewLoad(f.scenario, live.LoadOptions{
+		Targets:   targets,
+		Seed:      f.opts.Seed,
+		IDPrefix:  fmt.Sprintf("r%d", f.opts.Seed),
+		BodyBytes: bodyBytes,
+		Log:       f.opts.Log,
+		OnRequestEnd: func(r live.RequestRecord) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			f.handed = append(f.handed, h)
-		}})
+			f.requests = append(f.requests, r)
+		},
+	})
 	if err != nil {
 		return nil, err
 	}
-	f.rest()
-	receivers, stop := context.WithCancel(ctx)
-	var playing sync.WaitGroup
-	playing.Go(func() { f.v.Run(receivers) })
-	defer playing.Wait()
-	defer stop()
-	begun := time.Now()
-	var signalling sync.WaitGroup
+	f.openIdleConns()
+	receiversCtx, stopReceivers := context.WithCancel(ctx)
+	var receiversDone sync.WaitGroup
+	receiversDone.Go(func() { f.receivers.Run(receiversCtx) })
+	defer receiversDone.Wait()
+	defer stopReceivers()
+	started := time.Now()
+	var signalsDone sync.WaitGroup
 	for i, x := range f.signals {
-		signalling.Go(func() { f.signal(ctx, i, x, begun) })
+		signalsDone.Go(func() { f.sendSignal(ctx, i, x, started) })
 	}
-	loaded := load.Run(ctx)
-	signalling.Wait()
-	if err := f.settle(ctx); err != nil {
-		return f.unfinished(), err
+	loadResult := load.Run(ctx)
+	signalsDone.Wait()
+	if err := f.waitForDeadlines(ctx); err != nil {
+		return f.partialResult(), err
 	}
-	result := f.judge(loaded)
-	return result, f.keep(result)
+	result := f.evaluate(loadResult)
+	return result, f.writeRecords(result)
 }
 
-// rest opens the connections that clients hold and use for nothing.
-func (f *fleet) rest() {
+// openIdleConns opens the connections that clients hold without using them.
+func (f *fleet) openIdleConns() {
 	for _, d := range f.daemons {
 		for range f.plan.IdleConns {
-			if nc, err := net.Dial("tcp", d.listen); err == nil { // a sender may have no room: that is the crowd's point
-				f.restful = append(f.restful, nc)
+			nc, err := net.Dial("tcp", d.listen)
+			if err != nil {
+				continue // the sender may be at its limit of connections, which idle connections are meant to reach
 			}
+			f.idleConns = append(f.idleConns, nc)
 		}
 	}
 }
 
-// signal does one thing to a part of the senders, one after another.
-func (f *fleet) signal(ctx context.Context, i int, x Signal, begun time.Time) {
-	r := random.Stream(f.o.Seed, "signal", i)
+// sendSignal sends one of the plan's signals to its share of the senders, one after another.
+func (f *fleet) sendSignal(ctx context.Context, i int, x Signal, started time.Time) {
+	r := random.Stream(f.opts.Seed, "signal", i)
 	order := r.Perm(len(f.daemons))
 	n := max(1, int(x.Part*float64(len(order))+0.5))
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for k, sender := range order[:min(n, len(order))] {
-		if !sleep(ctx, time.Until(begun.Add(x.At.D()+time.Duration(k)*x.Gap.D()))) {
+		at := started.Add(x.At.D() + time.Duration(k)*x.Gap.D())
+		if !sleepContext(ctx, time.Until(at)) {
 			return
 		}
 		d := f.daemons[sender]
 		f.mu.Lock()
-		f.sent[x.Kind]++
+		f.signalsSent[x.Kind]++
 		f.mu.Unlock()
-		wg.Go(func() { f.signalOne(ctx, d, x) })
+		wg.Go(func() { f.signalDaemon(ctx, d, x) })
 	}
 }
 
-func (f *fleet) signalOne(ctx context.Context, d *daemon, x Signal) {
+// signalDaemon sends a signal to one sender. After kill and term it starts the sender again.
+func (f *fleet) signalDaemon(ctx context.Context, d *daemon, x Signal) {
 	switch x.Kind {
 	case signalHangup:
 		d.signal(syscall.SIGHUP)
 		return
 	case signalStop:
 		d.signal(syscall.SIGSTOP)
-		sleep(ctx, x.For.D())
+		sleepContext(ctx, x.For.D())
 		d.signal(syscall.SIGCONT)
 		return
 	}
-	if !d.restarting.TryLock() { // another signal has its hands on it
+	if !d.restarting.TryLock() { // another signal is restarting it
 		return
 	}
 	defer d.restarting.Unlock()
 	if x.Kind == signalTerm {
 		d.signal(syscall.SIGTERM)
-		sleep(ctx, x.For.D())
+		sleepContext(ctx, x.For.D())
 	}
 	d.kill()
-	if !sleep(ctx, max(x.Down.D(), usualDown)) {
+	if !sleepContext(ctx, max(x.Down.D(), minDown)) {
 		return
 	}
-	if err := d.start(ctx, laterStart); err != nil && ctx.Err() == nil {
+	if err := d.start(ctx, restartTimeout); err != nil && ctx.Err() == nil {
 		f.mu.Lock()
-		f.failed = append(f.failed, Violation{Rule: "start", At: time.Now(), Sender: d.n, Text: err.Error()})
+		f.processFailures = append(f.processFailures, Violation{
+			Rule: "start", At: time.Now(), Sender: d.index, Text: err.Error(),
+		})
 		f.mu.Unlock()
 	}
 }
 
-// sleep waits, unless the context ends before.
-func sleep(ctx context.Context, d time.Duration) bool {
+// sleepContext sleeps, and returns false if the context ended before.
+func sleepContext(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
@@ -253,71 +288,88 @@
 	}
 }
 
-// unfinished is what is known of a run that was interrupted: no verdict, and the margins of the returns so far.
-func (f *fleet) unfinished() *Result {
-	f.w.mu.Lock()
-	defer f.w.mu.Unlock()
-	return &Result{Seed: f.o.Seed, Outages: len(f.w.all), Margins: f.w.margins()}
+// partialResult returns the result of an interrupted run: the outages and margins so far, without violations.
+func (f *fleet) partialResult() *Result {
+	f.watcher.mu.Lock()
+	defer f.watcher.mu.Unlock()
+	return &Result{Seed: f.opts.Seed, Outages: len(f.watcher.outages), Margins: f.watcher.margins()}
 }
 
-// settle waits until the time of every message that was taken on is up.
-func (f *fleet) settle(ctx context.Context) error {
+// waitForDeadlines waits until every accepted message is due, and the plan's Settle longer.
+func (f *fleet) waitForDeadlines(ctx context.Context) error {
 	f.mu.Lock()
 	last := time.Now()
-	for _, h := range f.handed {
-		if taken(h) && h.Deadline.After(last) {
-			last = h.Deadline
+	for _, r := range f.requests {
+		if accepted(r) && r.Deadline.After(last) {
+			last = r.Deadline
 		}
 	}
 	f.mu.Unlock()
-	if !sleep(ctx, time.Until(last.Add(lostAfter+f.plan.Settle.D()))) {
+	if !sleepContext(ctx, time.Until(last.Add(finishSlack+f.plan.Settle.D()))) {
 		return ctx.Err()
 	}
 	return nil
 }
 
-func (f *fleet) judge(loaded *live.LoadResult) *Result {
-	rec := &records{s: f.s, w: f.w, ended: time.Now()}
+// evaluate checks the rules and returns the result.
+func (f *fleet) evaluate(load *live.LoadResult) *Result {
+	rec := &records{scenario: f.scenario, watcher: f.watcher, endedAt: time.Now()}
 	for i, d := range f.daemons {
-		rec.notices = append(rec.notices, f.v.Notices(i))
-		rec.lives = append(rec.lives, d.life())
+		rec.notices = append(rec.notices, f.receivers.Notices(i))
+		rec.processes = append(rec.processes, d.processSpans())
 		if d.crashed() {
-			f.failed = append(f.failed, Violation{Rule: "crash", At: time.Now(), Sender: i, Text: "the process ended though nobody told it to"})
+			f.processFailures = append(f.processFailures, Violation{
+				Rule: "crash", At: time.Now(), Sender: i, Text: "the process ended though nobody told it to",
+			})
 		}
 	}
-	f.w.mu.Lock()
-	defer f.w.mu.Unlock()
+	f.watcher.mu.Lock()
+	defer f.watcher.mu.Unlock()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	rec.handed = f.handed
-	result := &Result{Seed: f.o.Seed, Violations: append(f.failed, rec.verdict()...), Overloads: f.w.falls, Outages: len(f.w.all), Margins: f.w.margins(), Submitted: len(f.handed),
-		Signals: f.sent, ReceiverCounts: f.v.Counts(), ClientDelayP99Ms: loaded.StartDelayP99,
-		ReceiverLagMs: float64(f.v.MaxLag().Microseconds()) / 1000}
-	for _, h := range f.handed {
-		if taken(h) {
+	rec.requests = f.requests
+	result := &Result{
+		Seed:             f.opts.Seed,
+		Violations:       append(f.processFailures, rec.violations()...),
+		Overloads:        f.watcher.overloads,
+		Outages:          len(f.watcher.outages),
+		Margins:          f.watcher.margins(),
+		Submitted:        len(f.requests),
+		Signals:          f.signalsSent,
+		ReceiverCounts:   f.receivers.Counts(),
+		ClientDelayP99Ms: load.StartDelayP99,
+		ReceiverLagMs:    float64(f.receivers.MaxLag().Microseconds()) / 1000,
+	}
+	for _, r := range f.requests {
+		if accepted(r) {
 			result.Accepted++
 		}
 	}
 	return result
 }
 
-// keep writes the records of a run in which something broke.
-func (f *fleet) keep(r *Result) error {
-	if len(r.Violations) == 0 || f.o.RecordsDir == "" {
+// writeRecords writes the records of a run with violations, if there is a directory for them.
+func (f *fleet) writeRecords(r *Result) error {
+	if len(r.Violations) == 0 || f.opts.RecordsDir == "" {
 		return nil
 	}
-	dir := filepath.Join(f.o.RecordsDir, fmt.Sprint(f.plan.Name, "-seed-", f.o.Seed))
+	dir := filepath.Join(f.opts.RecordsDir, fmt.Sprint(f.plan.Name, "-seed-", f.opts.Seed))
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
 	notices := map[int][]platform.Notice{}
 	for i, d := range f.daemons {
-		notices[i] = f.v.Notices(i)
-		if err := os.WriteFile(filepath.Join(dir, fmt.Sprint("n", i, ".log")), []byte(d.text()), 0o644); err != nil {
+		notices[i] = f.receivers.Notices(i)
+		if err := os.WriteFile(filepath.Join(dir, fmt.Sprint("n", i, ".log")), []byte(d.logText()), 0o644); err != nil {
 			return err
 		}
 	}
-	for name, v := range map[string]any{"result.json": r, "calls.json": f.w.calls, "handed.json": f.handed, "notices.json": notices} {
+	for name, v := range map[string]any{
+		"result.json":  r,
+		"calls.json":   f.watcher.calls,
+		"handed.json":  f.requests,
+		"notices.json": notices,
+	} {
 		text, err := json.MarshalIndent(v, "", " ")
 		if err != nil {
 			return err
@@ -326,6 +378,6 @@
 			return err
 		}
 	}
-	f.o.Log("records kept in " + dir)
+	f.opts.Log("records written to " + dir)
 	return nil
 }
--- a/lab/rig/watch.go
+++ b/lab/rig/watch.go
@@ -1,5 +1,5 @@
-// This file owns the record of what receivers saw, and rule 4, which is judged as it happens. It must never read a sender's
-// log, and shares no code with the senders' decisions.
+// This file owns the record of what receivers observed, and rule 4, which is checked as a run goes on. It must never
+// read a sender's log, and shares no code with the senders' decisions.
 
 package rig
 
@@ -14,189 +14,209 @@
 	"eiderhaven/rules"
 )
 
-// call is one call as a receiver saw it.
+// call is one call as a receiver observed it.
 type call struct {
 	Sender       int       `json:"sender"`
 	IDs          []string  `json:"ids"`
 	Endpoint     int       `json:"endpoint"`
 	Unit         int       `json:"unit"`
 	ReceivedAt   time.Time `json:"at"`
-	EndedAt      time.Time `json:"over"` // zero: it was out to the end
+	EndedAt      time.Time `json:"over"` // zero: it was still in flight at the end of the run
 	Outcome      string    `json:"outcome"`
 	RetryAfterMs int64     `json:"wait_ms,omitempty"`
 
-	classes []int
-	what    rules.Outcome
-	silent  bool
+	classes  []int // of the messages
+	result   rules.Outcome
+	noAnswer bool
 }
 
-// fall is a destination that was pushed over as it came back.
-type fall struct {
+// overload is a unit that was sent too much during its recovery from an outage, and collapsed.
+type overload struct {
 	Unit            int         `json:"unit"`
 	OutageBegin     time.Time   `json:"out_from"`
 	OutageEnd       time.Time   `json:"out_to"`
 	At              time.Time   `json:"at"`
-	Calls           float64     `json:"sent"`     // calls within the window
-	InformedCalls   float64     `json:"informed"` // of them, from senders that had seen a call fail there during the outage
+	Calls           float64     `json:"sent"`     // within the window
+	InformedCalls   float64     `json:"informed"` // of these, from senders that had seen a call fail during the outage
 	RuleBroken      bool        `json:"rule_broken"`
 	BySender        map[int]int `json:"by_sender"`
 	InformedSenders []int       `json:"informed_senders"`
 }
 
-// outage is one outage of a unit, and who saw it.
+// outage is one outage of a unit.
 type outage struct {
-	begins, ends time.Time // ends is zero while it lasts
-	informed     map[int]bool
-	margin       float64 // of the worst window since its end
+	begin, end time.Time    // end is zero while it lasts
+	informed   map[int]bool // senders that saw a call fail
+	margin     float64      // largest margin of a window since its end, see package margin
 }
 
-// watcher is told by receivers; its methods run on their goroutine but for those that read.
+// watcher records what receivers observe. It implements live.Watcher.
 type watcher struct {
-	mu      sync.Mutex
-	calls   []*call
-	out     map[*model.Call]*call
-	outages map[int]*outage
-	all     []*outage
-	falls   []fall
-	drained map[int]time.Time // endpoints that a list has named as draining or gone, since when
-	refused int
+	mu            sync.Mutex
+	calls         []*call
+	inFlight      map[*model.Call]*call
+	latestOutages map[int]*outage // by unit
+	outages       []*outage
+	overloads     []overload
+	drainedSince  map[int]time.Time // by endpoint: when it was first listed as draining or gone
+	refusedConns  int
 }
 
 func newWatcher() *watcher {
-	return &watcher{out: map[*model.Call]*call{}, outages: map[int]*outage{}, drained: map[int]time.Time{}}
+	return &watcher{
+		inFlight:      map[*model.Call]*call{},
+		latestOutages: map[int]*outage{},
+		drainedSince:  map[int]time.Time{},
+	}
 }
 
-// Connected is told of each connection.
-func (w *watcher) ConnectionOpened(sender int, ep *receiver.Endpoint, taken bool) {
+// ConnectionOpened records a connection that was refused.
+func (w *watcher) ConnectionOpened(sender int, ep *receiver.Endpoint, accepted bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if taken {
+	if accepted {
 		return
 	}
-	w.refused++
-	if o := w.outages[ep.Unit.Number]; o != nil && o.ends.IsZero() {
+	w.refusedConns++
+	if o := w.latestOutages[ep.Unit.Number]; o != nil && o.end.IsZero() {
 		o.informed[sender] = true
 	}
 }
 
-// Called is told of each call that has come whole.
-func (w *watcher) CallReceived(sender int, ep *receiver.Endpoint, c *model.Call) {
+// CallReceived records a call that was received whole.
+func (w *watcher) CallReceived(sender int, ep *receiver.Endpoint, modelCall *model.Call) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	one := &call{Sender: sender, Endpoint: int(ep.ID), Unit: ep.Unit.Number, ReceivedAt: time.Now(), Outcome: "out"}
-	for _, m := range c.Messages {
-		one.IDs = append(one.IDs, string(m.ID))
-		one.classes = append(one.classes, m.Class)
+	c := &call{
+		Sender:     sender,
+		Endpoint:   int(ep.ID),
+		Unit:       ep.Unit.Number,
+		ReceivedAt: time.Now(),
+		Outcome:    "out",
+	}
+	for _, m := range modelCall.Messages {
+		c.IDs = append(c.IDs, string(m.ID))
+		c.classes = append(c.classes, m.Class)
 	}
-	w.calls = append(w.calls, one)
-	w.out[c] = one
+	w.calls = append(w.calls, c)
+	w.inFlight[modelCall] = c
 }
 
-// Answered is told how a call ended at the receiver.
-func (w *watcher) CallAnswered(sender int, ep *receiver.Endpoint, c *model.Call, o model.Outcome) {
+// CallAnswered records how a call ended at the receiver.
+func (w *watcher) CallAnswered(sender int, ep *receiver.Endpoint, modelCall *model.Call, o model.Outcome) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	one := w.out[c]
-	if one == nil {
+	c := w.inFlight[modelCall]
+	if c == nil {
 		return
 	}
-	delete(w.out, c)
-	one.EndedAt, one.what, one.silent, one.RetryAfterMs = time.Now(), o.Result, o.NoAnswer, o.RetryAfter.Milliseconds()
-	one.Outcome = outcomeName(o)
+	delete(w.inFlight, modelCall)
+	c.EndedAt = time.Now()
+	c.result = o.Result
+	c.noAnswer = o.NoAnswer
+	c.RetryAfterMs = o.RetryAfter.Milliseconds()
+	c.Outcome = outcomeName(o)
 	if o.Result != rules.OK {
-		w.learn(sender, ep, one)
+		w.markInformed(sender, ep, c)
 	}
 }
 
-// GivenUp is told of a call that its sender gave up, or of a connection on which nobody read.
-func (w *watcher) CallAbandoned(sender int, ep *receiver.Endpoint, c *model.Call) {
+// CallAbandoned records a call that its sender abandoned, or a connection whose requests were never read.
+func (w *watcher) CallAbandoned(sender int, ep *receiver.Endpoint, modelCall *model.Call) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	one := w.out[c]
-	if one == nil {
-		one = &call{Sender: sender, ReceivedAt: time.Now()}
+	c := w.inFlight[modelCall]
+	if c == nil {
+		c = &call{Sender: sender, ReceivedAt: time.Now()}
 	} else {
-		delete(w.out, c)
-		one.EndedAt, one.Outcome, one.what = time.Now(), "given up", rules.TimedOut
+		delete(w.inFlight, modelCall)
+		c.EndedAt = time.Now()
+		c.Outcome = "given up"
+		c.result = rules.TimedOut
 	}
-	w.learn(sender, ep, one)
+	w.markInformed(sender, ep, c)
 }
 
-// learn notes that a sender saw a call fail that it had made before the end of an outage. The caller holds the lock.
-func (w *watcher) learn(sender int, ep *receiver.Endpoint, c *call) {
-	if o := w.outages[ep.Unit.Number]; o != nil && (o.ends.IsZero() || !c.ReceivedAt.After(o.ends)) {
+// markInformed records that a sender knows of the unit's latest outage, from a failed call that it made before the
+// outage's end. The caller holds the lock.
+func (w *watcher) markInformed(sender int, ep *receiver.Endpoint, c *call) {
+	if o := w.latestOutages[ep.Unit.Number]; o != nil && (o.end.IsZero() || !c.ReceivedAt.After(o.end)) {
 		o.informed[sender] = true
 	}
 }
 
-// Listed is told of what discovery tells all senders.
+// ListPublished records the endpoints that discovery lists as draining or gone.
 func (w *watcher) ListPublished(e rules.ListUpdate) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, x := range e.Entries {
-		if _, known := w.drained[int(x.Endpoint)]; (x.Draining || x.Gone) && !known {
-			w.drained[int(x.Endpoint)] = time.Now()
+	for _, entry := range e.Entries {
+		if _, known := w.drainedSince[int(entry.Endpoint)]; (entry.Draining || entry.Gone) && !known {
+			w.drainedSince[int(entry.Endpoint)] = time.Now()
 		}
 	}
 }
 
-// Outage is told when an outage of a unit begins and ends.
+// Outage records the begin or the end of a unit's outage.
 func (w *watcher) Outage(u *receiver.Unit, begins bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if begins {
-		o := &outage{begins: time.Now(), informed: map[int]bool{}}
-		w.outages[u.Number], w.all = o, append(w.all, o)
-	} else if o := w.outages[u.Number]; o != nil {
-		o.ends = time.Now()
+		o := &outage{begin: time.Now(), informed: map[int]bool{}}
+		w.latestOutages[u.Number] = o
+		w.outages = append(w.outages, o)
+	} else if o := w.latestOutages[u.Number]; o != nil {
+		o.end = time.Now()
 	}
 }
 
-// Weighed is told of each window of calls that a unit is sent as it returns.
+// WindowMeasured updates the outage's margin with the latest window of calls to a recovering unit.
 func (w *watcher) WindowMeasured(u *receiver.Unit, window []receiver.Arrival, allowed float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if o := w.outages[u.Number]; o != nil {
+	if o := w.latestOutages[u.Number]; o != nil {
 		o.margin = max(o.margin, margin.Of(window, allowed, func(sender int) bool { return o.informed[sender] }))
 	}
 }
 
-// margins are those of all returns so far. The caller holds the lock.
+// margins returns the margins of all outages that have ended. The caller holds the lock.
 func (w *watcher) margins() (margins []float64) {
-	for _, o := range w.all {
-		if !o.ends.IsZero() {
+	for _, o := range w.outages {
+		if !o.end.IsZero() {
 			margins = append(margins, o.margin)
 		}
 	}
 	return margins
 }
 
-// Fell is told of a unit that was pushed over.
-func (w *watcher) UnitOverloaded(u *receiver.Unit, by map[int]float64) {
+// UnitOverloaded records a unit that collapsed during its recovery. Rule 4 is broken if at least the share
+// margin.InformedShare of the calls in the window came from senders that knew of the outage.
+func (w *watcher) UnitOverloaded(u *receiver.Unit, callsBySender map[int]float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	f := fall{Unit: u.Number, At: time.Now(), BySender: map[int]int{}}
-	o := w.outages[u.Number]
+	event := overload{Unit: u.Number, At: time.Now(), BySender: map[int]int{}}
+	o := w.latestOutages[u.Number]
 	if o != nil {
-		f.OutageBegin, f.OutageEnd = o.begins, o.ends
+		event.OutageBegin, event.OutageEnd = o.begin, o.end
 	}
-	for sender, n := range by {
-		f.Calls += n
-		f.BySender[sender] = int(n)
+	for sender, calls := range callsBySender {
+		event.Calls += calls
+		event.BySender[sender] = int(calls)
 		if o != nil && o.informed[sender] {
-			f.InformedCalls += n
-			f.InformedSenders = append(f.InformedSenders, sender)
+			event.InformedCalls += calls
+			event.InformedSenders = append(event.InformedSenders, sender)
 		}
 	}
-	f.RuleBroken = f.InformedCalls >= f.Calls*margin.InformedShare
-	w.falls = append(w.falls, f)
+	event.RuleBroken = event.InformedCalls >= event.Calls*margin.InformedShare
+	w.overloads = append(w.overloads, event)
 }
 
-func (f fall) String() string {
-	return fmt.Sprintf("unit %d was out for %.2fs, came back and fell %.2fs later: %.0f calls within the window, %.0f of them from senders that had seen the outage",
-		f.Unit, f.OutageEnd.Sub(f.OutageBegin).Seconds(), f.At.Sub(f.OutageEnd).Seconds(), f.Calls, f.InformedCalls)
+func (o overload) String() string {
+	return fmt.Sprintf("unit %d was out for %.2fs, came back and fell %.2fs later: "+
+		"%.0f calls within the window, %.0f of them from senders that had seen the outage",
+		o.Unit, o.OutageEnd.Sub(o.OutageBegin).Seconds(), o.At.Sub(o.OutageEnd).Seconds(), o.Calls, o.InformedCalls)
 }
 
+// outcomeName returns the outcome as it is written to the records of a run.
 func outcomeName(o model.Outcome) string {
 	switch {
 	case o.NoAnswer:
