--- a/lab/live/receivers.go
+++ b/lab/live/receivers.go
@@ -105,7 +105,7 @@
 // Limits of what is played on sockets.
 const (
 	maxDestinations = 2000
-	maxListeners    = 8000 // of all endpoints and senders
+	maxListeners    = 8000 // destinations times senders
 )
 
 // anyPort lets the system choose a free port.
