--- a/lab/clock/clock.go
+++ b/lab/clock/clock.go
@@ -1,9 +1,9 @@
-// Package clock owns virtual time: a queue of things to do, and the order in which they are done. It must never read
-// the machine's clock, and never let the order in which things were put in decide anything.
+// Package clock owns virtual time: the event queue and the order in which events fire. It must never read the
+// machine's clock, and the order must never depend on the order of insertion.
 //
-// Events at the same instant fire by phase, then by actor, then by the actor's own count. Each actor numbers what it
-// schedules, so the order follows from what the actors did, not from who was asked first: putting the same events in
-// by any order fires them alike.
+// Events at the same instant fire by phase, then by actor, then by the actor's own sequence number. Each actor
+// numbers the events it schedules, so the same events inserted in any interleaving of the actors fire in the same
+// order.
 package clock
 
 import (
@@ -11,28 +11,28 @@
 	"time"
 )
 
-// Phase orders what happens at the same instant: causes before what sees them, and senders' steps after all that
-// reaches their inboxes.
+// Phase orders events at the same instant: causes come before their effects, and senders' steps come after everything
+// that reaches their inboxes.
 type Phase uint8
 
 // The phases, in the order in which they fire.
 const (
-	Trouble  Phase = iota // something breaks or recovers
-	Registry              // the list changes or is told
+	Trouble  Phase = iota // an injected fault begins or ends
+	Registry              // the endpoint list changes or is delivered to a sender
 	Receive               // a call arrives or is served
 	Answer                // an outcome arrives at a sender
-	Submit                // a client hands in a message
+	Submit                // a client submits a message
 	Timer                 // time-outs and wake-ups
 	Step                  // senders decide
-	Check                 // the judge and the tally look
+	Check                 // the judge and the collector sample the run
 )
 
-// event is one thing to do.
+// event is one scheduled callback.
 type event struct {
 	at    time.Duration
 	phase Phase
 	actor int32
-	count uint64
+	seq   uint64
 	fire  func()
 }
 
@@ -45,10 +45,10 @@
 	case e.actor != o.actor:
 		return e.actor < o.actor
 	}
-	return e.count < o.count
+	return e.seq < o.seq
 }
 
-// Queue is virtual time and what is to happen in it. The zero value is ready and stands at 0. It is not safe for
+// Queue holds virtual time and the pending events. The zero value is ready to use and starts at 0. It is not safe for
 // concurrent use: one goroutine owns it.
 type Queue struct {
 	now   time.Duration
@@ -57,46 +57,46 @@
 	late  uint64
 }
 
-// Now is the present instant.
+// Now returns the current model time.
 func (q *Queue) Now() time.Duration { return q.now }
 
-// Fired is how many events have fired.
+// Fired returns the number of events that have fired.
 func (q *Queue) Fired() uint64 { return q.fired }
 
-// Late is how many events were asked for in the past; they fired at the present instant instead.
+// Late returns the number of events that were scheduled in the past; they fired at the current time instead.
 func (q *Queue) Late() uint64 { return q.late }
 
-// Pending is how many events wait.
+// Pending returns the number of scheduled events.
 func (q *Queue) Pending() int { return len(q.heap) }
 
-// Line is one actor's way to schedule in one phase. Its count makes each of its events unique.
+// Scheduler schedules the events of one actor in one phase. Its sequence numbers make the order of its events unique.
 type Scheduler struct {
-	q     *Queue
+	queue *Queue
 	phase Phase
 	actor int32
-	count uint64
+	seq   uint64
 }
 
-// Line returns a line for an actor. Two lines of one phase must have different actors.
+// NewScheduler returns a scheduler for an actor. Two schedulers of one phase must have different actors.
 func (q *Queue) NewScheduler(phase Phase, actor int) *Scheduler {
-	return &Scheduler{q: q, phase: phase, actor: int32(actor)}
+	return &Scheduler{queue: q, phase: phase, actor: int32(actor)}
 }
 
-// At schedules f. An instant that has passed counts as the present one, and is counted by Late: it guards against a
-// model that would turn time back.
-func (l *Scheduler) At(at time.Duration, f func()) {
-	if at < l.q.now {
-		at = l.q.now
-		l.q.late++
+// At schedules f. An instant in the past is moved to the current time and counted by Late, so that a faulty model
+// cannot turn time back.
+func (s *Scheduler) At(at time.Duration, f func()) {
+	if at < s.queue.now {
+		at = s.queue.now
+		s.queue.late++
 	}
-	l.count++
-	l.q.push(event{at: at, phase: l.phase, actor: l.actor, count: l.count, fire: f})
+	s.seq++
+	s.queue.push(event{at: at, phase: s.phase, actor: s.actor, seq: s.seq, fire: f})
 }
 
-// After schedules f a while from now.
-func (l *Scheduler) After(d time.Duration, f func()) { l.At(l.q.now+max(d, 0), f) }
+// After schedules f to fire after d; a negative d counts as 0.
+func (s *Scheduler) After(d time.Duration, f func()) { s.At(s.queue.now+max(d, 0), f) }
 
-// ErrTooMany tells that a run was ended by its bound of events.
+// EventLimitError reports that a run was ended by its limit of events.
 type EventLimitError struct {
 	Events uint64
 	At     time.Duration
@@ -107,10 +107,11 @@
 		"policy that asks for wake-ups without end", e.Events, e.At.Round(time.Millisecond))
 }
 
-// Run fires events up to and including an instant, then stands there. It stops with an *ErrTooMany at the bound.
-func (q *Queue) Run(until time.Duration, bound uint64) error {
+// Run fires all events up to and including an instant and leaves the clock there. It returns an *EventLimitError once
+// the total number of fired events reaches the limit.
+func (q *Queue) Run(until time.Duration, limit uint64) error {
 	for len(q.heap) > 0 && q.heap[0].at <= until {
-		if q.fired >= bound {
+		if q.fired >= limit {
 			return &EventLimitError{Events: q.fired, At: q.now}
 		}
 		e := q.pop()
@@ -122,7 +123,7 @@
 	return nil
 }
 
-// Next is the instant of the next event, false if none waits.
+// NextAt returns the time of the next event, or false if none is scheduled.
 func (q *Queue) NextAt() (time.Duration, bool) {
 	if len(q.heap) == 0 {
 		return 0, false
@@ -130,14 +131,15 @@
 	return q.heap[0].at, true
 }
 
-// The heap has four children a node: fewer levels, and the children of a node share cache lines.
-const arity = 4
+// heapArity is the number of children of a heap node: four make fewer levels than two, and the children of a node
+// share cache lines.
+const heapArity = 4
 
 func (q *Queue) push(e event) {
 	q.heap = append(q.heap, e)
 	i := len(q.heap) - 1
 	for i > 0 {
-		parent := (i - 1) / arity
+		parent := (i - 1) / heapArity
 		if !e.before(&q.heap[parent]) {
 			break
 		}
@@ -154,21 +156,21 @@
 	q.heap[last] = event{}
 	q.heap = q.heap[:last]
 	if last > 0 {
-		q.sink(e)
+		q.siftDown(e)
 	}
 	return top
 }
 
-// sink puts e at the root and lets it down to its place.
-func (q *Queue) sink(e event) {
+// siftDown puts e at the root and moves it down to its place.
+func (q *Queue) siftDown(e event) {
 	i, n := 0, len(q.heap)
 	for {
-		first := arity*i + 1
+		first := heapArity*i + 1
 		if first >= n {
 			break
 		}
 		least := first
-		for c := first + 1; c < min(first+arity, n); c++ {
+		for c := first + 1; c < min(first+heapArity, n); c++ {
 			if q.heap[c].before(&q.heap[least]) {
 				least = c
 			}
--- a/lab/process/process.go
+++ b/lab/process/process.go
@@ -1,5 +1,5 @@
-// Package process starts child processes that cannot outlive this program. It must never leave one running: the kernel ends
-// each when the program ends, whatever ends it.
+// Package process starts child processes that cannot outlive this program: the kernel kills each of them when the
+// program ends, for whatever reason. It must never leave a child running.
 package process
 
 import (
@@ -9,19 +9,19 @@
 	"syscall"
 )
 
-// Starter starts processes from one thread, which lives as long as its context: the kernel ends a process whose parent's
-// thread has ended, so that not even this program's own death leaves one behind.
-type Starter struct{ starts chan func() }
+// Starter starts processes from a single OS thread that lives as long as its context. The kernel signals a child when
+// the thread that started it ends, so children die even if this program is killed.
+type Starter struct{ requests chan func() }
 
 // NewStarter returns a starter that works until the context ends.
 func NewStarter(ctx context.Context) *Starter {
-	s := &Starter{starts: make(chan func())}
+	s := &Starter{requests: make(chan func())}
 	go func() {
 		runtime.LockOSThread() // never unlocked: the thread ends with the goroutine
 		for {
 			select {
-			case f := <-s.starts:
-				f()
+			case start := <-s.requests:
+				start()
 			case <-ctx.Done():
 				return
 			}
@@ -30,12 +30,13 @@
 	return s
 }
 
-// Start starts a command in a process group of its own: a terminal's Ctrl-C is for this program to pass on.
+// Start starts a command in its own process group, so that Ctrl-C in a terminal reaches only this program, which
+// decides what to pass on.
 func (s *Starter) Start(ctx context.Context, cmd *exec.Cmd) error {
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	done := make(chan error, 1)
 	select {
-	case s.starts <- func() { done <- cmd.Start() }:
+	case s.requests <- func() { done <- cmd.Start() }:
 		return <-done
 	case <-ctx.Done():
 		return ctx.Err()
--- a/lab/random/random_test.go
+++ b/lab/random/random_test.go
@@ -12,7 +12,8 @@
 		"exponential": NewExponential(80 * time.Millisecond),
 		"lognormal":   NewLognormal(80*time.Millisecond, 0.7),
 		"uniform":     NewUniform(40*time.Millisecond, 120*time.Millisecond),
-		"histogram":   NewHistogram([]time.Duration{60 * time.Millisecond, 120 * time.Millisecond, time.Second}, []float64{3, 3, 0.2}),
+		"histogram": NewHistogram([]time.Duration{60 * time.Millisecond, 120 * time.Millisecond, time.Second},
+			[]float64{3, 3, 0.2}),
 	} {
 		r := Stream(1, name, 0)
 		var sum float64
@@ -26,12 +27,12 @@
 	}
 }
 
-func TestStreamsOfActorsDiffer(t *testing.T) {
+func TestStreamsOfActorsAreIndependent(t *testing.T) {
 	if a, b := Stream(1, "x", 0).Uint64(), Stream(1, "x", 1).Uint64(); a == b {
-		t.Error("two actors drew the same")
+		t.Error("two actors got the same draw")
 	}
 	if a, b := Stream(1, "x", 0).Uint64(), Stream(1, "x", 0).Uint64(); a != b {
-		t.Error("one actor drew differently from the same seed")
+		t.Error("one actor got different draws from the same seed")
 	}
 }
 
