--- a/lab/client/client.go
+++ b/lab/client/client.go
@@ -1,5 +1,6 @@
-// Package client owns those who hand messages in: when, for whom, to which sender, and whether they come again. Arrivals
-// are drawn ahead of all answers, from a stream of their own, so that every policy meets the same day.
+// Package client owns the simulated clients: when they submit messages, for which destination, to which sender, and
+// whether they submit a refused message again. Arrivals must depend on no answer: they are drawn from a stream of
+// their own, so that every policy gets the same traffic.
 package client
 
 import (
@@ -15,49 +16,64 @@
 	"eiderhaven/rules"
 )
 
-// Senders is the way to the senders.
+// Senders gives clients access to the senders.
 type Senders interface {
-	// Hand offers a message to a sender: taken, or no room. up is false if that sender is down.
-	Submit(sender int, m *model.Message) (taken, up bool)
-	// Live returns a sender that is up and near the given one, or false if none is.
+	// Submit offers a message to a sender; accepted is false if the sender has no room, up is false if it is down.
+	Submit(sender int, m *model.Message) (accepted, up bool)
+	// FindLive returns the given sender or the next one that is up, or false if none is.
 	FindLive(sender int) (int, bool)
 }
 
-// Books counts first tries.
+// Recorder counts what clients submit.
 type Recorder interface {
+	// MessageSubmitted reports the first try of a message.
 	MessageSubmitted(now time.Duration, m *model.Message)
+	// MessageTurnedAway reports a message that a sender had no room for.
 	MessageTurnedAway(now time.Duration, m *model.Message)
+	// MessageResubmitted reports a later try of a message.
 	MessageResubmitted(now time.Duration, m *model.Message)
 }
 
-// Crowd is all clients of a run.
+// LoadGenerator simulates all clients of a run.
 type LoadGenerator struct {
-	s       *scenario.Scenario
-	q       *clock.Queue
-	line    *clock.Scheduler
-	later   *clock.Scheduler
-	r       *rand.Rand
-	seed    uint64
-	senders Senders
-	books   Recorder
-	dests   *random.Choice
-	classes *random.Choice
-	tenants *random.Choice
-	homes   *random.Choice
-	retry   random.Distribution
-	rescue  random.Distribution
-	sent    int
+	scenario      *scenario.Scenario
+	queue         *clock.Queue
+	arrivals      *clock.Scheduler
+	resubmissions *clock.Scheduler
+	rng           *rand.Rand
+	seed          uint64
+	senders       Senders
+	recorder      Recorder
+	destinations  *random.Choice
+	classes       *random.Choice
+	tenants       *random.Choice
+	homeSenders   *random.Choice // the sender that a message is submitted to
+	retryWait     random.Distribution
+	rescueDelay   random.Distribution
+	submitted     int // first tries
 
 	RateFactor float64         // traffic is multiplied by it
-	HotShare   map[int]float64 // further share of the messages for a destination
-	hots       []int           // the same, in the order of becoming hot
+	HotShare   map[int]float64 // additional share of all messages, by destination
+	hotOrder   []int           // the keys of HotShare, in the order in which they were added
 }
 
 // New returns the clients of a run.
-func New(s *scenario.Scenario, seed uint64, q *clock.Queue, senders Senders, books Recorder) *LoadGenerator {
-	c := &LoadGenerator{s: s, q: q, line: q.NewScheduler(clock.Submit, 0), later: q.NewScheduler(clock.Submit, 1), r: random.Stream(seed, "traffic", 0),
-		seed: seed, senders: senders, books: books, dests: random.NewChoice(s.DestinationWeights()),
-		retry: s.Traffic.RetryWait.Random(), rescue: s.Traffic.Rescue.Random(), RateFactor: 1, HotShare: map[int]float64{}}
+func New(s *scenario.Scenario, seed uint64, q *clock.Queue, senders Senders, recorder Recorder) *LoadGenerator {
+	g := &LoadGenerator{
+		scenario:      s,
+		queue:         q,
+		arrivals:      q.NewScheduler(clock.Submit, 0),
+		resubmissions: q.NewScheduler(clock.Submit, 1),
+		rng:           random.Stream(seed, "traffic", 0),
+		seed:          seed,
+		senders:       senders,
+		recorder:      recorder,
+		destinations:  random.NewChoice(s.DestinationWeights()),
+		retryWait:     s.Traffic.RetryWait.Random(),
+		rescueDelay:   s.Traffic.Rescue.Random(),
+		RateFactor:    1,
+		HotShare:      map[int]float64{},
+	}
 	var classes, tenants []float64
 	for _, x := range s.Classes {
 		classes = append(classes, x.Share)
@@ -65,158 +81,179 @@
 	for _, x := range s.Tenants {
 		tenants = append(tenants, x.Share)
 	}
-	c.classes, c.tenants = random.NewChoice(classes), random.NewChoice(tenants)
-	c.homes = random.NewChoice(random.Zipf(s.Senders.Count, s.Senders.Skew))
-	return c
+	g.classes, g.tenants = random.NewChoice(classes), random.NewChoice(tenants)
+	g.homeSenders = random.NewChoice(random.Zipf(s.Senders.Count, s.Senders.Skew))
+	return g
 }
 
-// Start begins the arrivals.
-func (c *LoadGenerator) Start() {
-	if c.s.Traffic.Rate > 0 && len(c.s.Kinds) > 0 && c.s.Run.Length > 0 {
-		c.line.At(c.gap(), c.arrive)
+// Start schedules the first arrival.
+func (g *LoadGenerator) Start() {
+	if g.scenario.Traffic.Rate > 0 && len(g.scenario.Kinds) > 0 && g.scenario.Run.Length > 0 {
+		g.arrivals.At(g.drawGap(), g.arrive)
 	}
 }
 
-// gap draws the time until the next arrival. An arrival of a clump stands for all its messages, so that the mean rate of
-// messages is the scenario's.
-func (c *LoadGenerator) gap() time.Duration {
-	t := c.s.Traffic
-	rate := t.Rate * c.RateFactor
+const (
+	minRate       = 1e-9 // messages per second; avoids a division by zero
+	maxGapSeconds = 1e6  // longest gap between two arrivals
+)
+
+// drawGap draws the time until the next arrival. A clump is one arrival, so the rate of arrivals is lowered to keep
+// the mean rate of messages at the scenario's value.
+func (g *LoadGenerator) drawGap() time.Duration {
+	t := g.scenario.Traffic
+	rate := t.Rate * g.RateFactor
 	if t.Clumps > 0 {
 		rate *= 1 - t.Clumps + t.Clumps/float64(t.ClumpSize)
 	}
-	mean := 1 / max(rate, 1e-9)
+	mean := 1 / max(rate, minRate)
 	if t.Arrivals == "even" {
 		return time.Duration(mean * float64(time.Second))
 	}
-	return time.Duration(min(c.r.ExpFloat64()*mean, 1e6) * float64(time.Second))
+	return time.Duration(min(g.rng.ExpFloat64()*mean, maxGapSeconds) * float64(time.Second))
 }
 
-func (c *LoadGenerator) arrive() {
-	t := c.s.Traffic
-	if c.q.Now() >= c.s.Run.Length.D() || t.MaxMessages > 0 && c.sent >= t.MaxMessages {
+// arrive submits the message or the clump of one arrival and schedules the next arrival.
+func (g *LoadGenerator) arrive() {
+	t := g.scenario.Traffic
+	if g.queue.Now() >= g.scenario.Run.Length.D() || t.MaxMessages > 0 && g.submitted >= t.MaxMessages {
 		return
 	}
-	dest := c.destination()
+	dest := g.drawDestination()
 	n := 1
 	if t.Clumps > 0 {
-		perArrival := t.Clumps / float64(t.ClumpSize) / (1 - t.Clumps + t.Clumps/float64(t.ClumpSize))
-		if c.r.Float64() < perArrival {
+		clumpChance := t.Clumps / float64(t.ClumpSize) / (1 - t.Clumps + t.Clumps/float64(t.ClumpSize))
+		if g.rng.Float64() < clumpChance {
 			n = t.ClumpSize
 		}
 	}
 	for range n {
-		c.handFirst(dest)
+		g.submitNew(dest)
 	}
-	c.line.After(c.gap(), c.arrive)
+	g.arrivals.After(g.drawGap(), g.arrive)
 }
 
-// Heat gives a destination a further share of the messages, or takes it away again.
-func (c *LoadGenerator) AddHotShare(dest int, share float64) {
-	if _, hot := c.HotShare[dest]; !hot {
-		c.hots = append(c.hots, dest)
+// AddHotShare adds to the share of all messages that go to a destination; a negative share removes it again.
+func (g *LoadGenerator) AddHotShare(dest int, share float64) {
+	if _, hot := g.HotShare[dest]; !hot {
+		g.hotOrder = append(g.hotOrder, dest)
 	}
-	c.HotShare[dest] += share
+	g.HotShare[dest] += share
 }
 
-func (c *LoadGenerator) destination() int {
-	x := c.r.Float64() // drawn whether or not any is hot, so that a trouble shifts no later draw
-	dest := c.dests.Pick(c.r)
-	for _, d := range c.hots {
-		if x < c.HotShare[d] {
+func (g *LoadGenerator) drawDestination() int {
+	x := g.rng.Float64() // drawn even if no destination is hot, so that a fault shifts no later draw
+	dest := g.destinations.Pick(g.rng)
+	for _, d := range g.hotOrder {
+		if x < g.HotShare[d] {
 			return d
 		}
-		x -= c.HotShare[d]
+		x -= g.HotShare[d]
 	}
 	return dest
 }
 
-func (c *LoadGenerator) handFirst(dest int) {
-	now := c.q.Now()
-	class := c.classes.Pick(c.r)
-	m := &model.Message{ID: rules.MessageID("m" + strconv.Itoa(c.sent)), FirstTry: c.sent, Dest: dest, Class: class, FirstSubmitted: now,
-		Tenant: c.tenants.Pick(c.r), Deadline: now + c.s.Classes[class].Deadline.D()}
-	home := c.homes.Pick(c.r)
-	key := c.r.IntN(c.s.Traffic.Keys)
-	if c.s.Classes[class].KeepOrder {
+// submitNew draws and submits the first try of a message for a destination.
+func (g *LoadGenerator) submitNew(dest int) {
+	now := g.queue.Now()
+	class := g.classes.Pick(g.rng)
+	m := &model.Message{
+		ID:             rules.MessageID("m" + strconv.Itoa(g.submitted)),
+		FirstTry:       g.submitted,
+		Dest:           dest,
+		Class:          class,
+		FirstSubmitted: now,
+		Tenant:         g.tenants.Pick(g.rng),
+		Deadline:       now + g.scenario.Classes[class].Deadline.D(),
+	}
+	home := g.homeSenders.Pick(g.rng)
+	key := g.rng.IntN(g.scenario.Traffic.Keys)
+	if g.scenario.Classes[class].KeepOrder {
 		m.Key = strconv.Itoa(dest) + "/" + strconv.Itoa(key)
-		home = c.keyHome(m.Key) // messages of one key come to one sender
+		home = g.senderOfKey(m.Key) // all messages of a key go to one sender
 	}
-	c.sent++
-	c.books.MessageSubmitted(now, m)
-	c.hand(home, m)
+	g.submitted++
+	g.recorder.MessageSubmitted(now, m)
+	g.submit(home, m)
 }
 
-func (c *LoadGenerator) keyHome(key string) int {
+// senderOfKey returns the sender that gets all messages of an order key.
+func (g *LoadGenerator) senderOfKey(key string) int {
 	h := fnv.New32a()
-	h.Write([]byte(key)) // never fails, by its contract
-	return int(h.Sum32() % uint32(c.s.Senders.Count))
+	h.Write([]byte(key)) // hash.Hash never returns an error
+	return int(h.Sum32() % uint32(g.scenario.Senders.Count))
 }
 
-// hand gives a message to a sender, or to another where that one is down.
-func (c *LoadGenerator) hand(sender int, m *model.Message) {
-	taken, up := c.senders.Submit(sender, m)
+// submit offers a message to a sender, or to another one if that sender is down.
+func (g *LoadGenerator) submit(sender int, m *model.Message) {
+	accepted, up := g.senders.Submit(sender, m)
 	if !up {
-		other, any := c.senders.FindLive(sender)
-		if !any {
-			c.again(m, sender, 0)
+		other, found := g.senders.FindLive(sender)
+		if !found {
+			g.retry(m, sender, 0)
 			return
 		}
-		taken, _ = c.senders.Submit(other, m)
+		accepted, _ = g.senders.Submit(other, m)
 	}
-	if !taken {
-		c.books.MessageTurnedAway(c.q.Now(), m)
-		c.again(m, sender, 0)
+	if !accepted {
+		g.recorder.MessageTurnedAway(g.queue.Now(), m)
+		g.retry(m, sender, 0)
 	}
 }
 
-// Ended tells a client how its message ended.
-func (c *LoadGenerator) MessageEnded(sender int, m *model.Message, end model.End, advice time.Duration) {
+// MessageEnded notifies a client how its message ended.
+func (g *LoadGenerator) MessageEnded(sender int, m *model.Message, end model.End, retryAfter time.Duration) {
 	if end == model.Refused {
-		c.again(m, sender, advice)
+		g.retry(m, sender, retryAfter)
 	}
 }
 
-// again hands a refused message in once more after a wait, while the client has tries and the message has time left.
-func (c *LoadGenerator) again(m *model.Message, sender int, advice time.Duration) {
-	if m.Try >= c.s.Traffic.Retries {
+// retry submits a refused message again after a wait, as long as the client has retries and the message has time
+// left.
+func (g *LoadGenerator) retry(m *model.Message, sender int, retryAfter time.Duration) {
+	if m.Try >= g.scenario.Traffic.Retries {
 		return
 	}
-	r := random.Stream(c.seed, "client "+strconv.Itoa(m.FirstTry), m.Try+1) // the same for every policy
-	wait, follows := c.retry.Draw(r), r.Float64() < c.s.Traffic.Follows
-	if advice > 0 && follows {
-		wait = min(advice, c.s.Senders.MaxRetryAfter.D())
+	// A stream of its own gives the same draws for every policy.
+	r := random.Stream(g.seed, "client "+strconv.Itoa(m.FirstTry), m.Try+1)
+	wait := g.retryWait.Draw(r)
+	followsRetryAfter := r.Float64() < g.scenario.Traffic.Follows
+	if retryAfter > 0 && followsRetryAfter {
+		wait = min(retryAfter, g.scenario.Senders.MaxRetryAfter.D())
 	}
-	c.comeBack(m, sender, wait)
+	g.resubmit(m, sender, wait)
 }
 
-// Rescue hands in again what a dead sender held, unless it may have taken effect and may not be repeated.
-func (c *LoadGenerator) Rescue(m *model.Message, sender int) bool {
-	class := &c.s.Classes[m.Class]
+// Rescue submits again a message that a dead sender held, unless it may have taken effect and must not be repeated.
+// It reports whether it does.
+func (g *LoadGenerator) Rescue(m *model.Message, sender int) bool {
+	class := &g.scenario.Classes[m.Class]
 	if m.MayHaveRun && class.Effect != "safe" {
 		return false
 	}
-	c.comeBack(m, sender, c.rescue.Draw(random.Stream(c.seed, "rescue "+strconv.Itoa(m.FirstTry), m.Try)))
+	r := random.Stream(g.seed, "rescue "+strconv.Itoa(m.FirstTry), m.Try)
+	g.resubmit(m, sender, g.rescueDelay.Draw(r))
 	return true
 }
 
-func (c *LoadGenerator) comeBack(m *model.Message, sender int, wait time.Duration) {
-	at := c.q.Now() + wait
+// resubmit schedules the next try of a message, unless its deadline comes first.
+func (g *LoadGenerator) resubmit(m *model.Message, sender int, wait time.Duration) {
+	at := g.queue.Now() + wait
 	if at >= m.Deadline {
 		return
 	}
 	next := *m
 	next.Try++
 	next.ID = rules.MessageID("m" + strconv.Itoa(m.FirstTry) + "." + strconv.Itoa(next.Try))
-	c.later.At(at, func() {
-		c.books.MessageResubmitted(c.q.Now(), &next)
-		c.hand(sender, &next)
+	g.resubmissions.At(at, func() {
+		g.recorder.MessageResubmitted(g.queue.Now(), &next)
+		g.submit(sender, &next)
 	})
 }
 
-// Clump hands in a heap of messages for one destination.
-func (c *LoadGenerator) SubmitClump(dest, n int) {
+// SubmitClump submits n messages for one destination at once.
+func (g *LoadGenerator) SubmitClump(dest, n int) {
 	for range n {
-		c.handFirst(dest)
+		g.submitNew(dest)
 	}
 }
--- a/lab/network/network.go
+++ b/lab/network/network.go
@@ -1,5 +1,5 @@
-// Package network owns what lies between senders and receivers: the time that things take to cross, and connections. It
-// must never know what a call says.
+// Package network owns what lies between senders and receivers: transit times and connections. It must never look
+// into a call.
 package network
 
 import (
@@ -10,31 +10,32 @@
 	"eiderhaven/lab/random"
 )
 
-// Network draws crossing times.
+// Network draws transit times.
 type Network struct {
 	oneWay              random.Distribution
-	crossZone           time.Duration
+	crossZone           time.Duration // added to each way between zones
 	HandshakeRoundTrips float64
-	r                   *rand.Rand
+	rng                 *rand.Rand
 }
 
 // New returns a network.
 func New(oneWay random.Distribution, crossZone time.Duration, handshakes float64, r *rand.Rand) *Network {
-	return &Network{oneWay: oneWay, crossZone: crossZone, HandshakeRoundTrips: handshakes, r: r}
+	return &Network{oneWay: oneWay, crossZone: crossZone, HandshakeRoundTrips: handshakes, rng: r}
 }
 
-// Cross draws the time from one zone to another.
+// OneWayDelay draws the transit time from one zone to another.
 func (n *Network) OneWayDelay(from, to int) time.Duration {
-	d := n.oneWay.Draw(n.r)
+	d := n.oneWay.Draw(n.rng)
 	if from != to {
 		d += n.crossZone
 	}
 	return d
 }
 
-// Handshake draws the time that opening a connection takes.
+// HandshakeDelay draws the time that opening a connection takes.
 func (n *Network) HandshakeDelay(from, to int) time.Duration {
-	return time.Duration(n.HandshakeRoundTrips * float64(n.OneWayDelay(from, to)+n.OneWayDelay(to, from)))
+	roundTrip := n.OneWayDelay(from, to) + n.OneWayDelay(to, from)
+	return time.Duration(n.HandshakeRoundTrips * float64(roundTrip))
 }
 
 // Conn is one connection, from a sender's pool to an endpoint's table.
@@ -42,23 +43,23 @@
 	Pool      *Pool
 	Table     *ConnTable
 	Busy      bool
-	Broken    bool // the other side does not know of it any more, or hears nothing: calls on it get no answer
+	Broken    bool // half-open: the receiver no longer knows it or gets nothing, so calls on it get no answer
 	IdleSince time.Duration
-	// OnClose, if set, is told when it closes; on sockets the real connection goes with it.
+	// OnClose, if set, is called when the connection closes; on sockets it closes the real connection.
 	OnClose func()
 	open    bool
 }
 
-// Open tells whether neither side has closed it.
+// Open reports whether neither side has closed the connection.
 func (c *Conn) Open() bool { return c.open }
 
-// Close closes it on both sides.
+// Close closes the connection on both sides.
 func (c *Conn) Close() {
 	if !c.open {
 		return
 	}
 	c.open = false
-	c.Table.drop(c)
+	c.Table.remove(c)
 	if i := slices.Index(c.Pool.idle, c); i >= 0 {
 		c.Pool.idle = slices.Delete(c.Pool.idle, i, i+1)
 	}
@@ -67,16 +68,16 @@
 	}
 }
 
-// Table is an endpoint's side: the connections that it holds.
+// ConnTable is the receiver's side: the connections that one endpoint holds.
 type ConnTable struct {
-	MaxConns int // 0: no bound
+	MaxConns int // 0: unlimited
 	conns    []*Conn
 }
 
-// Len is how many connections are open.
+// Len returns the number of open connections.
 func (t *ConnTable) Len() int { return len(t.conns) }
 
-func (t *ConnTable) drop(c *Conn) {
+func (t *ConnTable) remove(c *Conn) {
 	if i := slices.Index(t.conns, c); i >= 0 {
 		last := len(t.conns) - 1
 		t.conns[i], t.conns[last] = t.conns[last], nil
@@ -84,11 +85,11 @@
 	}
 }
 
-// Accept opens a connection if there is room, after closing those that have been idle too long.
+// Accept opens a connection, or returns nil if the connection limit is reached and no idle connection has expired.
 func (t *ConnTable) Accept(p *Pool, now time.Duration) *Conn {
 	if t.MaxConns > 0 && len(t.conns) >= t.MaxConns {
 		for _, c := range slices.Clone(t.conns) {
-			c.Pool.expire(c, now)
+			c.Pool.closeIfExpired(c, now)
 		}
 		if len(t.conns) >= t.MaxConns {
 			return nil
@@ -99,14 +100,14 @@
 	return c
 }
 
-// Kill marks every connection dead: it stays open and silent.
+// BreakAll marks every connection broken: it stays open, and calls on it get no answer.
 func (t *ConnTable) BreakAll() {
 	for _, c := range t.conns {
 		c.Broken = true
 	}
 }
 
-// Reset closes every connection and returns those that were busy.
+// CloseAll closes every connection and returns those that were busy.
 func (t *ConnTable) CloseAll() (busy []*Conn) {
 	for _, c := range slices.Clone(t.conns) {
 		if c.Busy {
@@ -123,13 +124,13 @@
 	idle      []*Conn
 }
 
-func (p *Pool) expire(c *Conn, now time.Duration) {
+func (p *Pool) closeIfExpired(c *Conn, now time.Duration) {
 	if !c.Busy && now-c.IdleSince >= p.KeepAlive {
 		c.Close()
 	}
 }
 
-// Take returns an idle connection, nil if there is none, closing those that have been idle too long.
+// Get returns the most recently used idle connection, or nil if there is none. It first closes expired connections.
 func (p *Pool) Get(now time.Duration) *Conn {
 	p.CloseExpired(now)
 	if len(p.idle) == 0 {
@@ -141,17 +142,17 @@
 	return c
 }
 
-// Expire closes connections that have been idle too long.
+// CloseExpired closes connections that have been idle for the keep-alive time.
 func (p *Pool) CloseExpired(now time.Duration) {
 	for len(p.idle) > 0 && now-p.idle[0].IdleSince >= p.KeepAlive {
 		p.idle[0].Close()
 	}
 }
 
-// Empty tells whether no connection is idle.
+// Empty reports whether no connection is idle.
 func (p *Pool) Empty() bool { return len(p.idle) == 0 }
 
-// Put returns a connection after a call.
+// Put returns a connection to the pool after a call.
 func (p *Pool) Put(c *Conn, now time.Duration) {
 	if !c.open {
 		return
--- a/lab/registry/registry.go
+++ b/lab/registry/registry.go
@@ -1,5 +1,5 @@
-// Package registry owns the list of endpoints and what each sender has heard of it. It must never tell of health, unless
-// the scenario has it call the endpoints' health itself.
+// Package registry owns the simulated discovery service: the list of endpoints and how much of it each sender has
+// received. It must never report an endpoint's health, unless the scenario asks for health checks.
 package registry
 
 import (
@@ -11,112 +11,121 @@
 	"eiderhaven/rules"
 )
 
-// Registry is the list.
+// Registry holds the endpoint list and delivers its changes to the senders.
 type Registry struct {
-	entries []rules.Entry // the list as it stands, in the order of adding
-	index   map[rules.EndpointID]int
-	lag     random.Distribution
-	r       *rand.Rand
-	line    *clock.Scheduler
-	q       *clock.Queue
-	ask     bool
-	tell    func(sender int, e rules.ListUpdate)
-	told    []tale
-	version int
-	changes []rules.Entry // since the start; a version is a position behind it
-
-	Unreachable int           // it tells nobody anything
-	ExtraLag    time.Duration // added to every telling
+	entries       []rules.Entry // the current list, in the order of insertion
+	index         map[rules.EndpointID]int
+	lag           random.Distribution
+	rng           *rand.Rand
+	scheduler     *clock.Scheduler
+	queue         *clock.Queue
+	watchRequired bool // a sender gets changes only after it has called Watch
+	deliver       func(sender int, e rules.ListUpdate)
+	subscriptions []subscription // by sender
+	initialCount  int            // entries in the list when the run started
+	changes       []rules.Entry  // since the start of the run
+
+	Unreachable int           // number of active faults during which nothing is delivered and calls fail
+	ExtraLag    time.Duration // added to the lag of every delivery
 }
 
-// tale is what one sender has been told.
-type tale struct {
-	watches bool
-	version int           // told up to here
-	last    time.Duration // tellings keep their order
-	pending bool
+// subscription is the state of one sender's updates.
+type subscription struct {
+	watching     bool
+	delivered    int           // number of changes delivered so far
+	lastDelivery time.Duration // a later update never arrives before this
+	scheduled    bool          // an update is on its way
 }
 
-// New returns a registry for so many senders; tell carries a telling to a sender's inbox.
-func New(senders int, ask bool, lag random.Distribution, q *clock.Queue, r *rand.Rand, tell func(int, rules.ListUpdate)) *Registry {
-	return &Registry{index: map[rules.EndpointID]int{}, lag: lag, r: r, q: q, line: q.NewScheduler(clock.Registry, 0), ask: ask,
-		tell: tell, told: make([]tale, senders)}
+// New returns a registry for a number of senders; deliver puts an update into a sender's inbox.
+func New(senders int, watchRequired bool, lag random.Distribution, q *clock.Queue, rng *rand.Rand,
+	deliver func(int, rules.ListUpdate)) *Registry {
+	return &Registry{
+		index:         map[rules.EndpointID]int{},
+		lag:           lag,
+		rng:           rng,
+		queue:         q,
+		scheduler:     q.NewScheduler(clock.Registry, 0),
+		watchRequired: watchRequired,
+		deliver:       deliver,
+		subscriptions: make([]subscription, senders),
+	}
 }
 
-// Seed adds an entry before the run starts.
-func (g *Registry) AddInitial(e rules.Entry) {
-	g.index[e.Endpoint] = len(g.entries)
-	g.entries = append(g.entries, e)
+// AddInitial adds an entry before the run starts.
+func (r *Registry) AddInitial(e rules.Entry) {
+	r.index[e.Endpoint] = len(r.entries)
+	r.entries = append(r.entries, e)
 }
 
-// Set adds or changes an entry, and tells it.
-func (g *Registry) Set(e rules.Entry) {
-	if i, known := g.index[e.Endpoint]; known {
-		g.entries[i] = e
+// Set adds or changes an entry and schedules its delivery to every sender.
+func (r *Registry) Set(e rules.Entry) {
+	if i, known := r.index[e.Endpoint]; known {
+		r.entries[i] = e
 	} else {
-		g.AddInitial(e)
+		r.AddInitial(e)
 	}
-	g.changes = append(g.changes, e)
-	for s := range g.told {
-		g.schedule(s)
+	r.changes = append(r.changes, e)
+	for sender := range r.subscriptions {
+		r.schedule(sender)
 	}
 }
 
-// Entry returns an entry as it stands.
-func (g *Registry) Entry(id rules.EndpointID) (rules.Entry, bool) {
-	i, known := g.index[id]
+// Entry returns the current entry of an endpoint.
+func (r *Registry) Entry(id rules.EndpointID) (rules.Entry, bool) {
+	i, known := r.index[id]
 	if !known {
 		return rules.Entry{}, false
 	}
-	return g.entries[i], true
+	return r.entries[i], true
 }
 
-// schedule tells a sender of what is new, after the lag.
-func (g *Registry) schedule(s int) {
-	t := &g.told[s]
-	if t.pending || g.ask && !t.watches || g.Unreachable > 0 || t.version == len(g.changes) {
+// schedule delivers the outstanding changes to a sender after the lag.
+func (r *Registry) schedule(sender int) {
+	sub := &r.subscriptions[sender]
+	if sub.scheduled || r.watchRequired && !sub.watching || r.Unreachable > 0 || sub.delivered == len(r.changes) {
 		return
 	}
-	t.pending = true
-	at := max(g.q.Now()+g.lag.Draw(g.r)+g.ExtraLag, t.last)
-	t.last = at
-	upTo := len(g.changes)
-	g.line.At(at, func() {
-		t.pending = false
-		if t.version < upTo && g.Unreachable == 0 {
-			entries := g.changes[t.version:upTo]
-			t.version = upTo
-			g.tell(s, rules.ListUpdate{Entries: entries})
+	sub.scheduled = true
+	at := max(r.queue.Now()+r.lag.Draw(r.rng)+r.ExtraLag, sub.lastDelivery)
+	sub.lastDelivery = at
+	upTo := len(r.changes)
+	r.scheduler.At(at, func() {
+		sub.scheduled = false
+		if sub.delivered < upTo && r.Unreachable == 0 {
+			entries := r.changes[sub.delivered:upTo]
+			sub.delivered = upTo
+			r.deliver(sender, rules.ListUpdate{Entries: entries})
 		}
-		g.schedule(s)
+		r.schedule(sender)
 	})
 }
 
-// Speak tells everybody what was missed while the registry was silent.
-func (g *Registry) ResumeUpdates() {
-	for s := range g.told {
-		g.schedule(s)
+// ResumeUpdates schedules the changes that were missed while the registry was unreachable.
+func (r *Registry) ResumeUpdates() {
+	for sender := range r.subscriptions {
+		r.schedule(sender)
 	}
 }
 
-// Watch is a sender's wish to hear changes from now on. It hears at once that the call failed while all is silent.
-func (g *Registry) Watch(s int, failed func()) {
-	if g.Unreachable > 0 {
-		g.line.After(g.lag.Draw(g.r), failed)
+// Watch subscribes a sender to changes. While the registry is unreachable it calls failed instead, after the lag.
+func (r *Registry) Watch(sender int, failed func()) {
+	if r.Unreachable > 0 {
+		r.scheduler.After(r.lag.Draw(r.rng), failed)
 		return
 	}
-	g.told[s].watches = true
-	g.schedule(s)
+	r.subscriptions[sender].watching = true
+	r.schedule(sender)
 }
 
-// Start returns the list as a sender that starts holds it: as it was last told, and nothing later.
-func (g *Registry) SenderStarted(s int) rules.ListUpdate {
-	t := &g.told[s]
-	t.watches, t.pending = false, false
-	if t.version == 0 && len(g.changes) == 0 {
-		return rules.ListUpdate{Whole: true, Entries: g.live()}
+// SenderStarted returns the list that a starting sender holds: the one it last received, without later changes.
+func (r *Registry) SenderStarted(sender int) rules.ListUpdate {
+	sub := &r.subscriptions[sender]
+	sub.watching, sub.scheduled = false, false
+	if sub.delivered == 0 && len(r.changes) == 0 {
+		return rules.ListUpdate{Whole: true, Entries: r.listed()}
 	}
-	// Replay what it had heard: the first list, then its changes.
+	// Replay what the sender had received: the initial list, then its changes.
 	known := map[rules.EndpointID]rules.Entry{}
 	var order []rules.EndpointID
 	put := func(e rules.Entry) {
@@ -126,18 +135,18 @@
 		known[e.Endpoint] = e
 	}
 	changed := map[rules.EndpointID]bool{}
-	for _, e := range g.changes {
+	for _, e := range r.changes {
 		changed[e.Endpoint] = true
 	}
-	for _, e := range g.entries {
+	for _, e := range r.entries {
 		if !changed[e.Endpoint] {
 			put(e)
 		}
 	}
-	for _, e := range g.first(changed) {
+	for _, e := range r.initialOf(changed) {
 		put(e)
 	}
-	for _, e := range g.changes[:t.version] {
+	for _, e := range r.changes[:sub.delivered] {
 		put(e)
 	}
 	var entries []rules.Entry
@@ -146,14 +155,14 @@
 			entries = append(entries, e)
 		}
 	}
-	g.schedule(s)
+	r.schedule(sender)
 	return rules.ListUpdate{Whole: true, Entries: entries}
 }
 
-// first returns the entries that have changed since, as they were at the start: those that were seeded then.
-func (g *Registry) first(changed map[rules.EndpointID]bool) []rules.Entry {
+// initialOf returns the initial entries that have changed since, with the state that they had at the start.
+func (r *Registry) initialOf(changed map[rules.EndpointID]bool) []rules.Entry {
 	var out []rules.Entry
-	for _, e := range g.entries[:min(g.version, len(g.entries))] {
+	for _, e := range r.entries[:min(r.initialCount, len(r.entries))] {
 		if changed[e.Endpoint] {
 			e.Draining, e.Gone = false, false
 			out = append(out, e)
@@ -162,12 +171,13 @@
 	return out
 }
 
-// Seal ends the seeding: what is in the list now is its first version.
-func (g *Registry) SealInitial() { g.version = len(g.entries) }
+// SealInitial ends the setup: the current entries are the initial list.
+func (r *Registry) SealInitial() { r.initialCount = len(r.entries) }
 
-func (g *Registry) live() []rules.Entry {
+// listed returns the entries that are not gone.
+func (r *Registry) listed() []rules.Entry {
 	var out []rules.Entry
-	for _, e := range g.entries {
+	for _, e := range r.entries {
 		if !e.Gone {
 			out = append(out, e)
 		}
@@ -175,5 +185,5 @@
 	return out
 }
 
-// Amend changes an entry before the run starts, untold.
-func (g *Registry) UpdateInitial(e rules.Entry) { g.entries[g.index[e.Endpoint]] = e }
+// UpdateInitial changes an entry before the run starts, without a delivery.
+func (r *Registry) UpdateInitial(e rules.Entry) { r.entries[r.index[e.Endpoint]] = e }
