--- a/lab/receiver/limit.go
+++ b/lab/receiver/limit.go
@@ -1,5 +1,5 @@
-// This file owns what a destination takes from all senders together: a plain rate, a count in each span, or calls at
-// once. It must never look at who calls.
+// This file owns the limit on the calls that a unit admits from all senders together: a rate, a count per window, or
+// a number of concurrent calls. It must never look at who calls.
 
 package receiver
 
@@ -11,125 +11,135 @@
 	"eiderhaven/rules"
 )
 
-// limit admits calls.
+// limit decides which calls are admitted.
 type limit interface {
-	// admit tells whether a call may come now, and if not, how long until one may.
+	// admit reports whether a call is admitted now, and if not, how long until one may be. share is the unit's
+	// present share of its capacity.
 	admit(now time.Duration, share float64) (ok bool, wait time.Duration)
-	// done tells that an admitted call is over.
-	done()
-	// scale changes the limit to a part of what it was at first.
-	scale(now time.Duration, part float64)
-	// perSecond is the calls a second that it allows at full share, 0 for no such figure.
+	// release reports that an admitted call has finished.
+	release()
+	// setFactor changes the limit to a multiple of its base value.
+	setFactor(now time.Duration, factor float64)
+	// perSecond returns the calls per second allowed at full capacity, 0 if the limit is not a rate.
 	perSecond() float64
+	// report returns what an answer states about the limit.
 	report(now time.Duration) rules.Report
-	// fresh is a limit like this one, unused.
-	fresh() limit
+	// unusedCopy returns a limit with the same base value and nothing used.
+	unusedCopy() limit
 }
 
-// epoch turns model time into the time.Time that the token bucket wants.
-var epoch = time.Unix(0, 0)
+const (
+	minRate        = 1e-6                  // calls per second; avoids a division by zero
+	minRateWait    = time.Millisecond      // shortest wait that a rate limit returns
+	maxRateDebt    = time.Second           // refused calls block a rate limit for at most this time
+	concurrentWait = 50 * time.Millisecond // a concurrency limit cannot know when a call will end
+)
+
+// bucketEpoch is the time.Time of model time 0, for the token bucket.
+var bucketEpoch = time.Unix(0, 0)
 
 // rateLimit is a token bucket.
 type rateLimit struct {
-	bucket *rate.Limiter
-	first  float64
-	part   float64
-	usesUp bool
-	debt   time.Duration // refused calls push the next free moment out, where they use up the limit
+	bucket        *rate.Limiter
+	base          float64 // calls per second
+	factor        float64
+	countsRefused bool          // refused calls use up the limit too
+	blockedUntil  time.Duration // refused calls postpone the next admission, if countsRefused
 }
 
-func newRateLimit(perSecond, burst float64, usesUp bool) *rateLimit {
-	return &rateLimit{bucket: rate.NewLimiter(rate.Limit(perSecond), int(max(1, burst))), first: perSecond, part: 1, usesUp: usesUp}
+func newRateLimit(perSecond, burst float64, countsRefused bool) *rateLimit {
+	bucket := rate.NewLimiter(rate.Limit(perSecond), int(max(1, burst)))
+	return &rateLimit{bucket: bucket, base: perSecond, factor: 1, countsRefused: countsRefused}
 }
 
 func (l *rateLimit) admit(now time.Duration, share float64) (bool, time.Duration) {
-	at := epoch.Add(now)
-	want := rate.Limit(l.first * l.part * share)
+	at := bucketEpoch.Add(now)
+	want := rate.Limit(l.base * l.factor * share)
 	if l.bucket.Limit() != want {
 		l.bucket.SetLimitAt(at, want)
 	}
-	gap := time.Duration(float64(time.Second) / max(float64(want), 1e-6))
-	if now >= l.debt && l.bucket.AllowN(at, 1) {
+	gap := time.Duration(float64(time.Second) / max(float64(want), minRate))
+	if now >= l.blockedUntil && l.bucket.AllowN(at, 1) {
 		return true, 0
 	}
-	if l.usesUp { // a refused call costs a token, up to one second's worth of them
-		l.debt = min(max(l.debt, now)+gap, now+time.Second)
+	if l.countsRefused { // a refused call costs a token, up to maxRateDebt
+		l.blockedUntil = min(max(l.blockedUntil, now)+gap, now+maxRateDebt)
 	}
 	missing := 1 - l.bucket.TokensAt(at)
-	return false, max(time.Duration(missing*float64(gap)), l.debt-now, time.Millisecond)
+	return false, max(time.Duration(missing*float64(gap)), l.blockedUntil-now, minRateWait)
 }
 
-func (l *rateLimit) done()                               {}
-func (l *rateLimit) scale(_ time.Duration, part float64) { l.part = part }
-func (l *rateLimit) perSecond() float64                  { return l.first * l.part }
+func (l *rateLimit) release()                                  {}
+func (l *rateLimit) setFactor(_ time.Duration, factor float64) { l.factor = factor }
+func (l *rateLimit) perSecond() float64                        { return l.base * l.factor }
 func (l *rateLimit) report(now time.Duration) rules.Report {
-	left := l.bucket.TokensAt(epoch.Add(now)) / float64(l.bucket.Burst())
+	left := l.bucket.TokensAt(bucketEpoch.Add(now)) / float64(l.bucket.Burst())
 	return rules.Report{Remaining: min(max(left, 0), 1), Limit: l.perSecond()}
 }
 
-func (l *rateLimit) fresh() limit {
-	return newRateLimit(l.first, float64(l.bucket.Burst()), l.usesUp)
+func (l *rateLimit) unusedCopy() limit {
+	return newRateLimit(l.base, float64(l.bucket.Burst()), l.countsRefused)
 }
 
-// windowLimit is a count in each span; spans follow one another without a gap.
+// windowLimit admits a count of calls in each window; windows follow one another without a gap.
 type windowLimit struct {
-	first  float64
-	part   float64
-	span   time.Duration
-	usesUp bool
-	index  time.Duration // number of the present span
-	used   float64
+	base          float64 // calls per window
+	factor        float64
+	span          time.Duration // length of a window
+	countsRefused bool          // refused calls use up the limit too
+	index         time.Duration // number of the current window
+	used          float64
 }
 
 func (l *windowLimit) admit(now time.Duration, share float64) (bool, time.Duration) {
 	if i := now / l.span; i != l.index {
 		l.index, l.used = i, 0
 	}
-	if l.used+1 <= max(l.first*l.part*share, 1) {
+	if l.used+1 <= max(l.base*l.factor*share, 1) {
 		l.used++
 		return true, 0
 	}
-	if l.usesUp {
+	if l.countsRefused {
 		l.used++
 	}
 	return false, (l.index+1)*l.span - now
 }
 
-func (l *windowLimit) done()                               {}
-func (l *windowLimit) scale(_ time.Duration, part float64) { l.part = part }
-func (l *windowLimit) perSecond() float64                  { return l.first * l.part / l.span.Seconds() }
+func (l *windowLimit) release()                                  {}
+func (l *windowLimit) setFactor(_ time.Duration, factor float64) { l.factor = factor }
+func (l *windowLimit) perSecond() float64                        { return l.base * l.factor / l.span.Seconds() }
 func (l *windowLimit) report(now time.Duration) rules.Report {
 	used := l.used
 	if now/l.span != l.index {
 		used = 0
 	}
-	return rules.Report{Remaining: min(max(1-used/max(l.first*l.part, 1), 0), 1), Limit: l.perSecond()}
+	return rules.Report{Remaining: min(max(1-used/max(l.base*l.factor, 1), 0), 1), Limit: l.perSecond()}
 }
 
-func (l *windowLimit) fresh() limit {
-	return &windowLimit{first: l.first, part: 1, span: l.span, usesUp: l.usesUp, index: -1}
+func (l *windowLimit) unusedCopy() limit {
+	return &windowLimit{base: l.base, factor: 1, span: l.span, countsRefused: l.countsRefused, index: -1}
 }
 
-// concurrentLimit is calls at once.
+// concurrentLimit admits a number of concurrent calls.
 type concurrentLimit struct {
-	first float64
-	part  float64
-	used  int
+	base   float64
+	factor float64
+	used   int
 }
 
 func (l *concurrentLimit) admit(_ time.Duration, share float64) (bool, time.Duration) {
-	if float64(l.used)+1 <= max(l.first*l.part*share, 1) {
+	if float64(l.used)+1 <= max(l.base*l.factor*share, 1) {
 		l.used++
 		return true, 0
 	}
-	return false, 50 * time.Millisecond // it cannot know when a call will end
+	return false, concurrentWait
 }
 
-func (l *concurrentLimit) done()                               { l.used = max(0, l.used-1) }
-func (l *concurrentLimit) scale(_ time.Duration, part float64) { l.part = part }
-func (l *concurrentLimit) perSecond() float64                  { return 0 }
+func (l *concurrentLimit) release()                                  { l.used = max(0, l.used-1) }
+func (l *concurrentLimit) setFactor(_ time.Duration, factor float64) { l.factor = factor }
+func (l *concurrentLimit) perSecond() float64                        { return 0 }
 func (l *concurrentLimit) report(time.Duration) rules.Report {
-	return rules.Report{Remaining: min(max(1-float64(l.used)/max(l.first*l.part, 1), 0), 1)}
+	return rules.Report{Remaining: min(max(1-float64(l.used)/max(l.base*l.factor, 1), 0), 1)}
 }
 
-func (l *concurrentLimit) fresh() limit { return &concurrentLimit{first: l.first, part: 1} }
+func (l *concurrentLimit) unusedCopy() limit { return &concurrentLimit{base: l.base, factor: 1} }
--- a/lab/receiver/unit.go
+++ b/lab/receiver/unit.go
@@ -1,4 +1,4 @@
-// This file owns units: one limit, one capacity, outages of their own, and the cold return after each.
+// This file owns units: what shares one limit, one capacity and its outages, and the cold recovery after each outage.
 
 package receiver
 
@@ -10,7 +10,8 @@
 	"eiderhaven/lab/model"
 )
 
-// Unit is what has one limit, one capacity and outages of its own.
+// Unit is a group of endpoints with a common limit, capacity and outages: a destination, or one of its endpoints
+// where the kind has separate routes.
 type Unit struct {
 	Number    int
 	Dest      int
@@ -18,53 +19,53 @@
 	Spec      *Spec
 	Endpoints []*Endpoint
 	limit     limit
-	r         *rand.Rand
-	obs       Observer
+	rng       *rand.Rand
+	observer  Observer
 
-	outages     int           // reasons for an outage that hold now
-	OutageSince time.Duration // when the outage began
-	cold        bool
-	coldFrom    time.Duration
-	Collapsed   bool
-	recent      []Arrival // while cold
-	Refusals    int
+	activeOutages  int           // number of active faults that cause an outage
+	OutageSince    time.Duration // when the outage began
+	cold           bool          // warming up after an outage
+	coldSince      time.Duration // when the last outage ended
+	Collapsed      bool          // overloaded during recovery; stays down for the rest of the run
+	recentArrivals []Arrival     // while cold: the calls within the fall window
+	Refusals       int
 }
 
-// Arrival is a call that reached a cold unit.
+// Arrival is a call that reached a unit while it was cold.
 type Arrival struct {
 	At     time.Duration
 	Sender int
-	Weight float64 // in calls
+	Weight float64 // in calls; a batch weighs more than one
 }
 
 // NewUnit returns a unit without endpoints.
-func NewUnit(number, dest, kind int, spec *Spec, r *rand.Rand, obs Observer) *Unit {
-	return &Unit{Number: number, Dest: dest, Kind: kind, Spec: spec, r: r, obs: obs}
+func NewUnit(number, dest, kind int, spec *Spec, rng *rand.Rand, observer Observer) *Unit {
+	return &Unit{Number: number, Dest: dest, Kind: kind, Spec: spec, rng: rng, observer: observer}
 }
 
-// LimitRate gives the unit a plain rate of calls.
-func (u *Unit) SetRateLimit(perSecond, burst float64, usesUp bool) {
-	u.limit = newRateLimit(perSecond, burst, usesUp)
+// SetRateLimit limits the unit to a rate of calls.
+func (u *Unit) SetRateLimit(perSecond, burst float64, countsRefused bool) {
+	u.limit = newRateLimit(perSecond, burst, countsRefused)
 }
 
-// LimitWindow gives the unit a count of calls in each span.
-func (u *Unit) SetWindowLimit(count float64, span time.Duration, usesUp bool) {
-	u.limit = &windowLimit{first: count, part: 1, span: span, usesUp: usesUp, index: -1}
+// SetWindowLimit limits the unit to a count of calls per window.
+func (u *Unit) SetWindowLimit(count float64, span time.Duration, countsRefused bool) {
+	u.limit = &windowLimit{base: count, factor: 1, span: span, countsRefused: countsRefused, index: -1}
 }
 
-// LimitConcurrent gives the unit a count of calls at once.
-func (u *Unit) SetConcurrencyLimit(count float64) { u.limit = &concurrentLimit{first: count, part: 1} }
+// SetConcurrencyLimit limits the unit to a number of concurrent calls.
+func (u *Unit) SetConcurrencyLimit(count float64) { u.limit = &concurrentLimit{base: count, factor: 1} }
 
-// Sibling returns a unit like this one, for a route that takes this one's place: the same limit, and nothing of its past.
+// Replacement returns a unit for a route that replaces this one: it has the same limit and none of its state.
 func (u *Unit) Replacement(number int) *Unit {
-	s := NewUnit(number, u.Dest, u.Kind, u.Spec, u.r, u.obs)
+	s := NewUnit(number, u.Dest, u.Kind, u.Spec, u.rng, u.observer)
 	if u.limit != nil {
-		s.limit = u.limit.fresh()
+		s.limit = u.limit.unusedCopy()
 	}
 	return s
 }
 
-// Listed is the calls a second that the unit takes at full share, from its limit and its servers.
+// Capacity returns the calls per second that the unit can serve when warm, given its limit and its servers.
 func (u *Unit) Capacity() float64 {
 	rate := u.serverRate()
 	if u.limit != nil {
@@ -75,10 +76,14 @@
 	return rate
 }
 
+// minMeanServiceTime avoids a division by zero, in seconds.
+const minMeanServiceTime = 1e-9
+
+// serverRate returns the calls per second that all servers of the unit complete.
 func (u *Unit) serverRate() float64 {
-	mean := 0.0
+	meanWork := 0.0
 	for _, w := range u.Spec.WorkByClass {
-		mean += w / float64(len(u.Spec.WorkByClass))
+		meanWork += w / float64(len(u.Spec.WorkByClass))
 	}
 	n := 0
 	for _, ep := range u.Endpoints {
@@ -86,163 +91,177 @@
 			n++
 		}
 	}
-	return float64(n*u.Spec.Servers) / max(u.Spec.ServiceTime.Mean().Seconds()*u.Spec.ServiceTimeFactor*mean, 1e-9)
+	meanServiceTime := u.Spec.ServiceTime.Mean().Seconds() * u.Spec.ServiceTimeFactor * meanWork
+	return float64(n*u.Spec.Servers) / max(meanServiceTime, minMeanServiceTime)
 }
 
-// Share is the part of its capacity that the unit has at a time. Endpoints that joined since the outage are machines of
-// their own and were never cold; the others warm up evenly.
+// CapacityShare returns the share of its capacity that the unit has at a time. Endpoints that joined after the outage
+// are separate machines and were never cold; the others warm up linearly.
 func (u *Unit) CapacityShare(now time.Duration) float64 {
-	share := u.warmth(now)
+	share := u.warmUpShare(now)
 	if share == 1 {
 		return 1
 	}
-	old, all := u.members()
+	recovering, all := u.countEndpoints()
 	if all == 0 {
 		return share
 	}
-	return 1 - (1-share)*float64(old)/float64(all)
+	return 1 - (1-share)*float64(recovering)/float64(all)
 }
 
-// warmth is the share of an endpoint that was there in the outage.
-func (u *Unit) warmth(now time.Duration) float64 {
+// warmUpShare returns the capacity share of an endpoint that went through the outage.
+func (u *Unit) warmUpShare(now time.Duration) float64 {
 	if !u.cold {
 		return 1
 	}
-	if now-u.coldFrom >= u.Spec.WarmUp {
-		u.cold, u.recent = false, nil
+	if now-u.coldSince >= u.Spec.WarmUp {
+		u.cold, u.recentArrivals = false, nil
 		return 1
 	}
-	return u.Spec.ColdShare + (1-u.Spec.ColdShare)*(now-u.coldFrom).Seconds()/u.Spec.WarmUp.Seconds()
+	return u.Spec.ColdShare + (1-u.Spec.ColdShare)*(now-u.coldSince).Seconds()/u.Spec.WarmUp.Seconds()
 }
 
-// Down tells whether an outage lasts.
-func (u *Unit) Down() bool { return u.outages > 0 || u.Collapsed }
+// Down reports whether the unit is in an outage or has collapsed.
+func (u *Unit) Down() bool { return u.activeOutages > 0 || u.Collapsed }
 
-// BeginOutage adds a reason for an outage.
+// BeginOutage adds a cause of an outage.
 func (u *Unit) BeginOutage(now time.Duration) {
-	if u.outages++; u.outages == 1 && !u.Collapsed {
-		u.OutageSince, u.cold, u.recent = now, false, nil
-		u.obs.Outage(u, true)
+	if u.activeOutages++; u.activeOutages == 1 && !u.Collapsed {
+		u.OutageSince, u.cold, u.recentArrivals = now, false, nil
+		u.observer.Outage(u, true)
 	}
 }
 
-// EndOutage takes one away; with the last one the unit comes back cold.
+// EndOutage removes a cause; after the last one the unit recovers cold.
 func (u *Unit) EndOutage(now time.Duration) {
-	if u.outages--; u.outages == 0 && !u.Collapsed {
-		u.cold, u.coldFrom, u.recent = true, now, nil
-		u.obs.Outage(u, false)
+	if u.activeOutages--; u.activeOutages == 0 && !u.Collapsed {
+		u.cold, u.coldSince, u.recentArrivals = true, now, nil
+		u.observer.Outage(u, false)
 	}
 }
 
-// ScaleLimit cuts the limit to a part of what it was; 1 restores it.
-func (u *Unit) ScaleLimit(now time.Duration, part float64) {
+// ScaleLimit sets the limit to a multiple of its base value; 1 restores it.
+func (u *Unit) ScaleLimit(now time.Duration, factor float64) {
 	if u.limit != nil {
-		u.limit.scale(now, part)
+		u.limit.setFactor(now, factor)
 	}
 }
 
-// weigh counts what reaches the endpoints of a unit that is cold, and lets it fall over when that is too much. Endpoints
-// that joined since the outage neither count nor have a part in the budget.
-func (u *Unit) weigh(now time.Duration, ep *Endpoint, c *model.Call) {
-	warmth := u.warmth(now)
-	if !u.cold || u.Collapsed || ep.born > u.coldFrom {
+// recordColdArrival counts what the endpoints of a cold unit are sent, and makes the unit collapse when that is too
+// much. Endpoints that joined after the outage neither count nor contribute to the budget.
+func (u *Unit) recordColdArrival(now time.Duration, ep *Endpoint, c *model.Call) {
+	share := u.warmUpShare(now) // ends the cold state when it is over
+	if !u.cold || u.Collapsed || ep.created > u.coldSince {
 		return
 	}
 	weight := 1 + float64(len(c.Messages)-1)*u.Spec.BatchCost
-	u.recent = append(u.recent, Arrival{now, c.Sender, weight})
-	for len(u.recent) > 0 && u.recent[0].At <= now-u.Spec.FallWindow {
-		u.recent = u.recent[1:]
+	u.recentArrivals = append(u.recentArrivals, Arrival{now, c.Sender, weight})
+	for len(u.recentArrivals) > 0 && u.recentArrivals[0].At <= now-u.Spec.FallWindow {
+		u.recentArrivals = u.recentArrivals[1:]
 	}
 	sum := 0.0
-	for _, a := range u.recent {
+	for _, a := range u.recentArrivals {
 		sum += a.Weight
 	}
-	allowed := u.Spec.allowed(u.budget(warmth))
-	u.obs.WindowMeasured(u, u.recent, allowed)
+	allowed := u.Spec.collapseThreshold(u.coldBudget(share))
+	u.observer.WindowMeasured(u, u.recentArrivals, allowed)
 	if sum <= allowed {
 		return
 	}
-	by := map[int]float64{}
-	for _, a := range u.recent {
-		by[a.Sender] += a.Weight
+	bySender := map[int]float64{}
+	for _, a := range u.recentArrivals {
+		bySender[a.Sender] += a.Weight
 	}
-	u.Collapsed, u.cold, u.recent = true, false, nil
+	u.Collapsed, u.cold, u.recentArrivals = true, false, nil
 	for _, ep := range u.Endpoints {
-		ep.fall()
+		ep.collapse()
 	}
-	u.obs.UnitOverloaded(u, by)
+	u.observer.UnitOverloaded(u, bySender)
 }
 
-// budget is what the endpoints that were in the outage may be sent within the span. The rule speaks of messages: a unit that
-// takes several in a call takes as many times its calls, while a call weighs little more than one message.
-func (u *Unit) budget(warmth float64) float64 {
-	old, all := u.members()
-	return u.Spec.OverloadFactor * u.Capacity() * float64(u.Spec.MaxBatch) * warmth * u.Spec.FallWindow.Seconds() * float64(old) / float64(max(all, 1))
+// coldBudget returns the weight that the endpoints that went through the outage may be sent within the fall window.
+// The rule is about messages: a unit that takes batches has a budget of its calls times the batch size, although a
+// batch weighs little more than one message.
+func (u *Unit) coldBudget(share float64) float64 {
+	recovering, all := u.countEndpoints()
+	return u.Spec.OverloadFactor * u.Capacity() * float64(u.Spec.MaxBatch) * share *
+		u.Spec.FallWindow.Seconds() * float64(recovering) / float64(max(all, 1))
 }
 
-// members counts the endpoints that were there in the outage, and all that are there.
-func (u *Unit) members() (old, all int) {
+// countEndpoints returns the number of endpoints that went through the last outage, and of all endpoints.
+func (u *Unit) countEndpoints() (recovering, all int) {
 	for _, ep := range u.Endpoints {
 		if ep.Removed {
 			continue
 		}
 		all++
-		if ep.born <= u.coldFrom {
-			old++
+		if ep.created <= u.coldSince {
+			recovering++
 		}
 	}
-	return old, all
+	return recovering, all
 }
 
-// smallBudget is the budget in calls below which the standing test allows more for chance.
-const smallBudget = 30
+// The standing test of the platform allows for chance by a multiple of the budget's square root and a number of
+// calls, and for more below smallBudget, which is in calls.
+const (
+	smallBudget         = 30
+	smallBudgetRoots    = 3
+	smallBudgetCalls    = 3
+	standingBudgetRoots = 2
+	standingBudgetCalls = 2
+)
+
+// chanceCalls is added to the budget where FallChance applies: two calls that happen to coincide must not overload a
+// small unit.
+const chanceCalls = 2
 
-// allowed is what a cold unit takes within the span without falling: its budget and what is put down to chance.
-func (s *Spec) allowed(budget float64) float64 {
+// collapseThreshold returns the weight above which a cold unit collapses: the budget plus what is put down to chance.
+func (s *Spec) collapseThreshold(budget float64) float64 {
 	root := math.Sqrt(budget)
 	switch {
 	case s.StandingTerm && budget < smallBudget:
-		return budget + 3*root + 3
+		return budget + smallBudgetRoots*root + smallBudgetCalls
 	case s.StandingTerm:
-		return budget + 2*root + 2
+		return budget + standingBudgetRoots*root + standingBudgetCalls
 	}
-	return budget + s.FallChance*root + fallSlack
+	return budget + s.FallChance*root + chanceCalls
 }
 
-// fallSlack is what a cold unit takes beyond its budget: two calls that happen to meet must not fell a small one.
-const fallSlack = 2
+// unlimited stands for no limit in RemainingLimit and RemainingColdBudget, in calls.
+const unlimited = 1e9
 
-// Room is how many calls a unit's limit still admits, and how long until it admits one more; for policies that are
-// allowed to see the true state.
+// RemainingLimit returns how many calls the unit's limit admits now; for policies that may see the true state.
 func (u *Unit) RemainingLimit(now time.Duration) float64 {
 	switch l := u.limit.(type) {
 	case *rateLimit:
-		if now < l.debt {
+		if now < l.blockedUntil {
 			return 0
 		}
-		return l.bucket.TokensAt(epoch.Add(now))
+		return l.bucket.TokensAt(bucketEpoch.Add(now))
 	case *windowLimit:
 		if now/l.span != l.index {
-			return max(l.first*l.part*u.CapacityShare(now), 1)
+			return max(l.base*l.factor*u.CapacityShare(now), 1)
 		}
-		return max(l.first*l.part*u.CapacityShare(now), 1) - l.used
+		return max(l.base*l.factor*u.CapacityShare(now), 1) - l.used
 	case *concurrentLimit:
-		return max(l.first*l.part*u.CapacityShare(now), 1) - float64(l.used)
+		return max(l.base*l.factor*u.CapacityShare(now), 1) - float64(l.used)
 	}
-	return 1e9
+	return unlimited
 }
 
-// ColdRoom is how much more a cold unit may be sent now before it falls over; for policies that see the true state.
+// RemainingColdBudget returns the weight that a cold unit may still be sent now without exceeding its budget; for
+// policies that may see the true state.
 func (u *Unit) RemainingColdBudget(now time.Duration) float64 {
-	warmth := u.warmth(now)
+	share := u.warmUpShare(now) // ends the cold state when it is over
 	if !u.cold {
-		return 1e9
+		return unlimited
 	}
 	sum := 0.0
-	for _, a := range u.recent {
+	for _, a := range u.recentArrivals {
 		if a.At > now-u.Spec.FallWindow {
 			sum += a.Weight
 		}
 	}
-	return u.budget(warmth) - sum
+	return u.coldBudget(share) - sum
 }
