--- a/lab/sender/calls.go
+++ b/lab/sender/calls.go
@@ -1,9 +1,8 @@
-// This file owns what is out: slots, connections, time-outs, and what becomes of each call and its attempts.
+// This file owns the calls in flight: slots, connections, timeouts, and the outcomes of calls and their attempts.
 
 package sender
 
 import (
-	"fmt"
 	"slices"
 	"time"
 
@@ -13,225 +12,239 @@
 	"eiderhaven/rules"
 )
 
+// pool is the sender's connection pool to one endpoint.
 type pool struct {
 	network.Pool
-	ep  *receiver.Endpoint
-	out int // calls
+	endpoint      *receiver.Endpoint
+	callsInFlight int
 }
 
-// flight is one attempt that is out.
-type flight struct {
-	h    *holding
-	num  int
-	call *call
-	done bool
+// attempt is one message's part in a call.
+type attempt struct {
+	held   *heldMessage
+	number int   // from 0, per message
+	call   *call // nil if the attempt was not sent
+	done   bool  // the outcome has been reported
 }
 
-type flightKey struct {
-	id  rules.MessageID
-	num int
+type attemptKey struct {
+	id     rules.MessageID
+	number int
 }
 
-// call is what travels to an endpoint at once; it holds a slot.
+// call is one request to an endpoint; it occupies a slot.
 type call struct {
 	model.Call
-	pool    *pool
-	conn    *network.Conn
-	flights []*flight
-	open    int
+	pool         *pool
+	conn         *network.Conn
+	attempts     []*attempt
+	openAttempts int // attempts without an outcome
 }
 
-// send books an attempt, in a call that this step makes to the same endpoint if there is room in it.
-func (h *Host) send(fresh []*call, a rules.Send) []*call {
-	now := h.w.Queue.Now()
-	ep, k := h.w.Endpoints[a.Endpoint], h.held[a.ID]
+// send starts an attempt. It joins a call that this step already makes to the same endpoint if the batch has room.
+func (h *Host) send(newCalls []*call, a rules.Send) []*call {
+	now := h.env.Queue.Now()
+	ep, held := h.env.Endpoints[a.Endpoint], h.held[a.ID]
 	if ep == nil {
-		h.fault("a send to an endpoint that does not exist")
-		return fresh
+		h.reportInvalid("a send to an endpoint that does not exist")
+		return newCalls
 	}
-	num := 0
-	if k != nil {
-		num = k.attempts
+	number := 0
+	if held != nil {
+		number = held.attemptCount
 	}
-	h.w.Judge.AttemptStarted(now, h.Number, a.ID, num, a.Endpoint)
-	if k == nil {
-		return fresh
+	h.env.Judge.AttemptStarted(now, h.Number, a.ID, number, a.Endpoint)
+	if held == nil {
+		return newCalls
 	}
-	if ep.Unit.Dest != k.m.Dest {
-		h.fault("a send to an endpoint of another destination")
-		return fresh
+	if ep.Unit.Dest != held.message.Dest {
+		h.reportInvalid("a send to an endpoint of another destination")
+		return newCalls
 	}
-	k.attempts++
-	f := &flight{h: k, num: num}
-	if k.attempts-k.recalled > h.Settings.MaxAttempts || now >= k.m.Deadline {
-		h.notSent(f, ep.ID, false)
-		return fresh
+	held.attemptCount++
+	att := &attempt{held: held, number: number}
+	if held.attemptCount-held.recalledCount > h.Settings.MaxAttempts || now >= held.message.Deadline {
+		h.notSent(att, ep.ID, false)
+		return newCalls
 	}
 	var c *call
-	for _, open := range fresh {
-		if open.pool.ep == ep && len(open.flights) < ep.Unit.Spec.MaxBatch {
+	for _, open := range newCalls {
+		if open.pool.endpoint == ep && len(open.attempts) < ep.Unit.Spec.MaxBatch {
 			c = open
 		}
 	}
 	if c == nil {
-		if h.busy >= h.Settings.Slots {
-			h.notSent(f, ep.ID, true)
-			return fresh
+		if h.slotsInUse >= h.Settings.Slots {
+			h.notSent(att, ep.ID, true)
+			return newCalls
 		}
-		h.busy++
+		h.slotsInUse++
 		c = &call{Call: model.Call{Sender: h.Number, Sent: now}, pool: h.pool(ep)}
-		c.pool.out++
-		fresh = append(fresh, c)
+		c.pool.callsInFlight++
+		newCalls = append(newCalls, c)
 	}
-	f.call = c
-	c.flights, c.open = append(c.flights, f), c.open+1
-	c.Messages, c.Attempts = append(c.Messages, k.m), append(c.Attempts, num)
-	k.out = append(k.out, f)
-	h.flights[flightKey{a.ID, num}] = f
-	h.live[c] = true
-	h.trace(a.ID, "attempt %d to endpoint %d of destination %d, time-out %v", num, ep.ID, k.m.Dest, a.Timeout)
-	h.expire(f, a.Timeout)
-	return fresh
+	att.call = c
+	c.attempts = append(c.attempts, att)
+	c.openAttempts++
+	c.Messages = append(c.Messages, held.message)
+	c.Attempts = append(c.Attempts, number)
+	held.inFlight = append(held.inFlight, att)
+	h.attempts[attemptKey{a.ID, number}] = att
+	h.inFlight[c] = true
+	h.trace(a.ID, "attempt %d to endpoint %d of destination %d, timeout %v",
+		number, ep.ID, held.message.Dest, a.Timeout)
+	h.scheduleTimeout(att, a.Timeout)
+	return newCalls
 }
 
-// sweepPools is how many new pools come between two looks for those that have nothing left: with thousands of endpoints
-// they would be most of a run's memory.
-const sweepPools = 256
+// poolSweepInterval is the number of new pools between two sweeps for unused ones; with thousands of endpoints unused
+// pools would be most of a run's memory.
+const poolSweepInterval = 256
 
+// pool returns the connection pool to an endpoint, creating it if necessary.
 func (h *Host) pool(ep *receiver.Endpoint) *pool {
-	p := h.calls[ep.ID]
+	p := h.pools[ep.ID]
 	if p == nil {
-		if h.pools++; h.pools%sweepPools == 0 {
-			h.dropPools()
+		if h.poolsCreated++; h.poolsCreated%poolSweepInterval == 0 {
+			h.dropUnusedPools()
 		}
-		p = &pool{Pool: network.Pool{KeepAlive: h.Settings.KeepAlive}, ep: ep}
-		h.calls[ep.ID] = p
+		p = &pool{Pool: network.Pool{KeepAlive: h.Settings.KeepAlive}, endpoint: ep}
+		h.pools[ep.ID] = p
 	}
 	return p
 }
 
-// dropPools closes connections that have been idle too long, and forgets pools without any.
-func (h *Host) dropPools() {
-	now := h.w.Queue.Now()
-	for id, p := range h.calls {
-		if p.CloseExpired(now); p.out == 0 && p.Empty() {
-			delete(h.calls, id)
+// dropUnusedPools closes expired connections and drops pools without connections.
+func (h *Host) dropUnusedPools() {
+	now := h.env.Queue.Now()
+	for id, p := range h.pools {
+		if p.CloseExpired(now); p.callsInFlight == 0 && p.Empty() {
+			delete(h.pools, id)
 		}
 	}
 }
 
-func (h *Host) notSent(f *flight, ep rules.EndpointID, noSlot bool) {
-	h.report(f, ep, rules.AttemptEnded{Outcome: rules.NotSent, NoFreeSlot: noSlot})
+// notSent reports an attempt that was not sent.
+func (h *Host) notSent(att *attempt, ep rules.EndpointID, noSlot bool) {
+	h.reportOutcome(att, ep, rules.AttemptEnded{Outcome: rules.NotSent, NoFreeSlot: noSlot})
 }
 
-// expire ends an attempt when its time-out or its message's time is up.
-func (h *Host) expire(f *flight, timeout time.Duration) {
-	at := f.h.m.Deadline
+// scheduleTimeout abandons an attempt at its timeout or its message's deadline, whichever is earlier.
+func (h *Host) scheduleTimeout(att *attempt, timeout time.Duration) {
+	at := att.held.message.Deadline
 	if timeout != 0 {
-		at = min(at, h.w.Queue.Now()+max(timeout, 0))
+		at = min(at, h.env.Queue.Now()+max(timeout, 0))
 	}
 	epoch := h.epoch
 	h.timers.At(at, func() {
-		if h.epoch == epoch && !f.done {
-			h.giveUp(f, rules.TimedOut)
+		if h.epoch == epoch && !att.done {
+			h.abandon(att, rules.TimedOut)
 		}
 	})
 }
 
-// giveUp ends an attempt from this side. A call with no attempt left gives its slot and its connection back.
-func (h *Host) giveUp(f *flight, why rules.Outcome) {
-	c := f.call
-	h.finish(f, model.Outcome{Result: why})
-	if c.open > 0 {
+// abandon ends an attempt from the sender's side. A call without open attempts releases its slot and closes its
+// connection.
+func (h *Host) abandon(att *attempt, outcome rules.Outcome) {
+	c := att.call
+	h.finishAttempt(att, model.Outcome{Result: outcome})
+	if c.openAttempts > 0 {
 		return
 	}
 	c.Abandoned = true
-	c.pool.ep.CallAbandoned(&c.Call)
+	c.pool.endpoint.CallAbandoned(&c.Call)
 	if c.conn != nil {
 		c.conn.Close()
 	}
 }
 
+// cancel abandons an attempt in flight.
 func (h *Host) cancel(a rules.Cancel) {
 	if !h.Settings.MayCancel {
-		h.fault("a cancel, which the settings forbid")
+		h.reportInvalid("a cancel, which the settings forbid")
 		return
 	}
-	if f := h.flights[flightKey{a.ID, a.Attempt}]; f != nil {
-		h.giveUp(f, rules.Cancelled)
+	if att := h.attempts[attemptKey{a.ID, a.Attempt}]; att != nil {
+		h.abandon(att, rules.Cancelled)
 	}
 }
 
-// recall ends a call whose connection is still being opened.
+// recall withdraws a call whose connection is still being opened; all its attempts count as not sent.
 func (h *Host) recall(a rules.Recall) {
-	f := h.flights[flightKey{a.ID, a.Attempt}]
-	if f == nil || f.call.conn != nil {
+	att := h.attempts[attemptKey{a.ID, a.Attempt}]
+	if att == nil || att.call.conn != nil {
 		return
 	}
-	c := f.call
+	c := att.call
 	c.Abandoned = true
-	for _, f := range c.flights {
-		if !f.done {
-			f.h.recalled++
-			h.finish(f, model.Outcome{Result: rules.NotSent, Recalled: true})
+	for _, att := range c.attempts {
+		if !att.done {
+			att.held.recalledCount++
+			h.finishAttempt(att, model.Outcome{Result: rules.NotSent, Recalled: true})
 		}
 	}
 }
 
-// launch opens a connection, if none is idle, and puts the call on its way.
+// launch sends a call over an idle connection, or opens one first.
 func (h *Host) launch(c *call) {
-	now, ep := h.w.Queue.Now(), c.pool.ep
+	now, ep := h.env.Queue.Now(), c.pool.endpoint
 	epoch := h.epoch
 	c.Done = func(o model.Outcome) {
 		if o.NoAnswer {
 			return
 		}
-		h.line.After(h.w.Network.OneWayDelay(ep.Zone, h.Zone), func() {
+		h.answers.After(h.env.Network.OneWayDelay(ep.Zone, h.Zone), func() {
 			if h.epoch == epoch {
-				h.answer(c, o)
+				h.applyOutcome(c, o)
 			}
 		})
 	}
 	if c.conn = c.pool.Get(now); c.conn != nil {
-		h.w.Recorder.CallSent(now, &c.Call, ep.Unit, false)
+		h.env.Recorder.CallSent(now, &c.Call, ep.Unit, false)
 		h.deliver(c)
 		return
 	}
-	h.w.Recorder.CallSent(now, &c.Call, ep.Unit, true)
-	h.line.After(h.w.Network.HandshakeDelay(h.Zone, ep.Zone), func() {
-		if h.epoch != epoch || c.Abandoned {
-			return
-		}
-		conn, full, silent := ep.Connect(&c.pool.Pool, h.w.Queue.Now())
-		switch {
-		case silent:
-			h.line.At(max(now+h.Settings.ConnectTimeout, h.w.Queue.Now()), func() {
-				if h.epoch == epoch {
-					h.answer(c, model.Outcome{Result: rules.ConnectError})
-				}
-			})
-		case conn == nil:
-			h.answer(c, model.Outcome{Result: rules.ConnectError, ConnectionLimitReached: full})
-		default:
-			c.conn = conn
-			h.deliver(c)
+	h.env.Recorder.CallSent(now, &c.Call, ep.Unit, true)
+	h.answers.After(h.env.Network.HandshakeDelay(h.Zone, ep.Zone), func() {
+		if h.epoch == epoch && !c.Abandoned {
+			h.connect(c, now)
 		}
 	})
 }
 
+// connect completes the handshake of a call that started at a time, and delivers the call if the endpoint accepts.
+func (h *Host) connect(c *call, started time.Duration) {
+	epoch := h.epoch
+	conn, limitReached, noAnswer := c.pool.endpoint.Connect(&c.pool.Pool, h.env.Queue.Now())
+	switch {
+	case noAnswer:
+		h.answers.At(max(started+h.Settings.ConnectTimeout, h.env.Queue.Now()), func() {
+			if h.epoch == epoch {
+				h.applyOutcome(c, model.Outcome{Result: rules.ConnectError})
+			}
+		})
+	case conn == nil:
+		h.applyOutcome(c, model.Outcome{Result: rules.ConnectError, ConnectionLimitReached: limitReached})
+	default:
+		c.conn = conn
+		h.deliver(c)
+	}
+}
+
+// deliver brings a call to its endpoint after the transit time.
 func (h *Host) deliver(c *call) {
-	ep, conn := c.pool.ep, c.conn
-	h.line.After(h.w.Network.OneWayDelay(h.Zone, ep.Zone), func() { ep.Receive(&c.Call, conn) })
+	ep, conn := c.pool.endpoint, c.conn
+	h.answers.After(h.env.Network.OneWayDelay(h.Zone, ep.Zone), func() { ep.Receive(&c.Call, conn) })
 }
 
-// answer brings a call's outcome to all its attempts that have none yet.
-func (h *Host) answer(c *call, o model.Outcome) {
-	if c.open == 0 {
+// applyOutcome ends all open attempts of a call and returns or closes its connection.
+func (h *Host) applyOutcome(c *call, o model.Outcome) {
+	if c.openAttempts == 0 {
 		return
 	}
-	for _, f := range c.flights {
-		if !f.done {
-			h.finish(f, o)
+	for _, att := range c.attempts {
+		if !att.done {
+			h.finishAttempt(att, o)
 		}
 	}
 	if c.conn == nil {
@@ -241,52 +254,55 @@
 		c.conn.Close()
 		return
 	}
-	c.pool.Put(c.conn, h.w.Queue.Now())
+	c.pool.Put(c.conn, h.env.Queue.Now())
 }
 
-// finish books an attempt's outcome and tells the policy.
-func (h *Host) finish(f *flight, o model.Outcome) {
-	c := f.call
-	delete(h.flights, flightKey{f.h.m.ID, f.num})
-	if c.open--; c.open == 0 {
-		h.busy--
-		c.pool.out--
-		delete(h.live, c)
+// finishAttempt records the outcome of an attempt in flight and reports it.
+func (h *Host) finishAttempt(att *attempt, o model.Outcome) {
+	c := att.call
+	delete(h.attempts, attemptKey{att.held.message.ID, att.number})
+	if c.openAttempts--; c.openAttempts == 0 {
+		h.slotsInUse--
+		c.pool.callsInFlight--
+		delete(h.inFlight, c)
 	}
-	f.h.out = slices.DeleteFunc(f.h.out, func(x *flight) bool { return x == f })
-	h.report(f, c.pool.ep.ID, rules.AttemptEnded{Outcome: o.Result, Elapsed: h.w.Queue.Now() - c.Sent, RetryAfter: o.RetryAfter, ConnectionLimitReached: o.ConnectionLimitReached, Recalled: o.Recalled, Report: o.Report})
+	att.held.inFlight = slices.DeleteFunc(att.held.inFlight, func(x *attempt) bool { return x == att })
+	h.reportOutcome(att, c.pool.endpoint.ID, rules.AttemptEnded{
+		Outcome:                o.Result,
+		Elapsed:                h.env.Queue.Now() - c.Sent,
+		RetryAfter:             o.RetryAfter,
+		ConnectionLimitReached: o.ConnectionLimitReached,
+		Recalled:               o.Recalled,
+		Report:                 o.Report,
+	})
 }
 
-func (h *Host) report(f *flight, ep rules.EndpointID, e rules.AttemptEnded) {
-	now, k := h.w.Queue.Now(), f.h
-	f.done = true
-	e.ID, e.Attempt, e.Endpoint = k.m.ID, f.num, ep
+// reportOutcome reports an attempt's outcome to the policy, the judge and the recorder, and ends a delivered message.
+func (h *Host) reportOutcome(att *attempt, ep rules.EndpointID, e rules.AttemptEnded) {
+	now, held := h.env.Queue.Now(), att.held
+	att.done = true
+	e.ID, e.Attempt, e.Endpoint = held.message.ID, att.number, ep
 	if e.Outcome.MayHaveRun() || e.Outcome == rules.ConnectError && !e.ConnectionLimitReached {
-		k.failed++
+		held.failedCount++
 	}
-	if e.Outcome.MayHaveRun() {
-		if f.call != nil && (!k.mayRun || f.call.Sent < k.ran) {
-			k.mayRun, k.ran, k.ranAt = true, f.call.Sent, ep
-		}
+	if e.Outcome.MayHaveRun() && att.call != nil {
+		held.noteMayHaveRun(att.call.Sent, ep)
 	}
-	h.w.Judge.AttemptEnded(now, h.Number, k.m.ID, f.num, ep, e.Outcome, e.RetryAfter)
-	h.w.Recorder.AttemptEnded(now, h.Number, e.Outcome)
-	h.trace(k.m.ID, "attempt %d at endpoint %d: %v after %v%s", f.num, ep, OutcomeName(e.Outcome), e.Elapsed.Round(time.Millisecond), waitText(e.RetryAfter))
-	if e.Outcome == rules.OK && !k.over && now <= k.m.Deadline {
-		h.over(k, model.Served, 0)
+	h.env.Judge.AttemptEnded(now, h.Number, held.message.ID, att.number, ep, e.Outcome, e.RetryAfter)
+	h.env.Recorder.AttemptEnded(now, h.Number, e.Outcome)
+	h.trace(held.message.ID, "attempt %d at endpoint %d: %v after %v%s", att.number, ep, OutcomeName(e.Outcome),
+		e.Elapsed.Round(time.Millisecond), retryAfterSuffix(e.RetryAfter))
+	if e.Outcome == rules.OK && !held.finished && now <= held.message.Deadline {
+		h.finishMessage(held, model.Served, 0)
 	}
-	e.Finished = k.over
-	h.tell(e)
+	e.Finished = held.finished
+	h.enqueueEvent(e)
 }
 
-func waitText(w time.Duration) string {
-	if w == 0 {
-		return ""
-	}
-	return fmt.Sprintf(", told to wait %v", w.Round(time.Millisecond))
+// outcomeNames holds the names of the outcomes in the order of their values.
+var outcomeNames = [...]string{
+	"delivered", "error", "refused", "timed out", "connect failed", "reset", "cancelled", "not sent",
 }
 
-var outcomeNames = [...]string{"delivered", "error", "turned away", "timed out", "connect failed", "reset", "cancelled", "not sent"}
-
-// OutcomeName is an outcome in words.
+// OutcomeName returns the name of an outcome in traces.
 func OutcomeName(o rules.Outcome) string { return outcomeNames[o] }
--- a/lab/sender/sender.go
+++ b/lab/sender/sender.go
@@ -1,6 +1,6 @@
-// Package sender owns the process around a policy: inbox, steps on tick bounds, slots, connections, time-outs, what is
-// held, and restarts. It carries out actions to the letter and must never decide anything for the policy; what a policy
-// asks for that cannot be is counted as a fault.
+// Package sender owns the simulated sender process around a policy: its inbox, steps at tick boundaries, slots,
+// connections, timeouts, held messages and restarts. It executes the policy's actions exactly and must never decide
+// anything itself; an action that cannot be executed is counted as invalid.
 package sender
 
 import (
@@ -20,15 +20,15 @@
 	"eiderhaven/rules"
 )
 
-// Policy decides for one sender. *rules.Sender is one; package baseline has others.
+// Policy makes the decisions of one sender. *rules.Sender is a Policy; package baseline has others.
 type Policy interface {
 	Step(now time.Duration, events []rules.Event) []rules.Action
 }
 
-// Factory makes the policy of one sender process from the settings that it starts with.
+// Factory returns the policy of one sender process for the settings that it starts with.
 type Factory func(set rules.Settings) Policy
 
-// Surroundings are the parts of the world that a sender meets.
+// Environment holds the parts of the simulation that a sender uses.
 type Environment struct {
 	Scenario    *scenario.Scenario
 	Queue       *clock.Queue
@@ -37,179 +37,196 @@
 	Judge       *judge.Judge
 	Endpoints   map[rules.EndpointID]*receiver.Endpoint
 	Factory     Factory
-	RequestStep func(h *Host, at time.Duration) // asks for a step at a tick
+	RequestStep func(h *Host, at time.Duration) // requests a step at a tick
 	Recorder    Recorder
 	Clients     Clients
 	Trace       func(format string, args ...any) // nil: none
 }
 
-// Books counts what a sender does.
+// Recorder counts what a sender does.
 type Recorder interface {
 	CallSent(now time.Duration, c *model.Call, unit *receiver.Unit, opened bool)
 	AttemptEnded(now time.Duration, sender int, o rules.Outcome)
 	MessageEnded(now time.Duration, sender int, m *model.Message, end model.End)
 }
 
-// Clients hear how their messages ended.
+// Clients are notified how their messages ended.
 type Clients interface {
-	MessageEnded(m *model.Message, end model.End, advice time.Duration)
+	MessageEnded(m *model.Message, end model.End, retryAfter time.Duration)
 }
 
-// Host is one sender.
+// Host runs one sender.
 type Host struct {
 	Number         int
 	Zone           int
 	Up             bool
 	Settings       rules.Settings
-	InvalidActions map[string]int
-	w              *Environment
+	InvalidActions map[string]int // by description; also panics of the policy
+	env            *Environment
 	policy         Policy
-	epoch          int // of the process; what an earlier one had scheduled means nothing
+	epoch          int // number of the process; events that an earlier process scheduled are ignored
 	inbox          []rules.Event
 	lastStep       time.Duration
-	stepping       bool // a step is due
-	held           map[rules.MessageID]*holding
-	calls          map[rules.EndpointID]*pool
-	live           map[*call]bool // out
-	flights        map[flightKey]*flight
-	busy           int // slots taken
-	line           *clock.Scheduler
+	stepRequested  bool // a step is scheduled
+	held           map[rules.MessageID]*heldMessage
+	pools          map[rules.EndpointID]*pool
+	inFlight       map[*call]bool
+	attempts       map[attemptKey]*attempt // in flight
+	slotsInUse     int
+	answers        *clock.Scheduler
 	timers         *clock.Scheduler
 	actions        []rules.Action
 
 	transitions []rules.Transition // of the last step
 
-	pools    int
-	kept     []*holding                  // what outlasts the process, while it is down
-	outages  map[rules.EndpointID]outage // likewise: endpoints taken for out
-	PeakHeld int                         // most messages held
-	taken    int
+	poolsCreated int
+	retained     []*heldMessage              // messages kept while the process is down
+	outages      map[rules.EndpointID]outage // endpoints considered out; kept across restarts with the state
+	PeakHeld     int                         // largest number of messages held
+	accepted     int                         // number of messages accepted
 }
 
-// holding is a message that is held, or has ended with attempts still out.
-type holding struct {
-	m        *model.Message
-	attempts int
-	recalled int // of them
-	out      []*flight
-	over     bool
-	ran      time.Duration // send time of the earliest attempt that may have run
-	ranAt    rules.EndpointID
-	mayRun   bool
-	failed   int // attempts, for the next process
-	seq      int // order of taking
+// heldMessage is a message that is held, or has ended with attempts still in flight.
+type heldMessage struct {
+	message            *model.Message
+	attemptCount       int
+	recalledCount      int // of the attempts
+	inFlight           []*attempt
+	finished           bool
+	mayHaveRunAt       time.Duration // send time of the earliest attempt that may have run
+	mayHaveRunEndpoint rules.EndpointID
+	mayHaveRun         bool
+	failedCount        int // failed attempts, reported to the next process
+	seq                int // order of acceptance
 }
 
 // New returns a sender that is down.
-func New(number, zone int, set rules.Settings, w *Environment) *Host {
-	return &Host{outages: map[rules.EndpointID]outage{}, Number: number, Zone: zone, Settings: set, w: w, InvalidActions: map[string]int{},
-		line: w.Queue.NewScheduler(clock.Answer, number), timers: w.Queue.NewScheduler(clock.Timer, number)}
+func New(number, zone int, set rules.Settings, env *Environment) *Host {
+	return &Host{
+		Number:         number,
+		Zone:           zone,
+		Settings:       set,
+		InvalidActions: map[string]int{},
+		env:            env,
+		answers:        env.Queue.NewScheduler(clock.Answer, number),
+		timers:         env.Queue.NewScheduler(clock.Timer, number),
+		outages:        map[rules.EndpointID]outage{},
+	}
 }
 
-// Start begins a process. What an earlier one kept comes back with what is known of its attempts.
+// Start starts a process. Messages kept by an earlier process are restored with what is known of their attempts.
 func (h *Host) Start(seed uint64) {
 	set := h.Settings
 	set.Seed = seed
 	h.Up, h.epoch = true, h.epoch+1
-	h.policy = h.w.Factory(set)
-	h.inbox, h.stepping, h.busy = nil, false, 0
-	h.held, h.calls = map[rules.MessageID]*holding{}, map[rules.EndpointID]*pool{}
-	h.live, h.flights = map[*call]bool{}, map[flightKey]*flight{}
-	h.tell(h.hear(h.w.Registry.SenderStarted(h.Number)))
-	now := h.w.Queue.Now()
+	h.policy = h.env.Factory(set)
+	h.inbox, h.stepRequested, h.slotsInUse = nil, false, 0
+	h.held, h.pools = map[rules.MessageID]*heldMessage{}, map[rules.EndpointID]*pool{}
+	h.inFlight, h.attempts = map[*call]bool{}, map[attemptKey]*attempt{}
+	h.enqueueEvent(h.recordListUpdate(h.env.Registry.SenderStarted(h.Number)))
+	now := h.env.Queue.Now()
 	for _, id := range slices.Sorted(maps.Keys(h.outages)) {
-		h.tell(rules.RememberedOutage{Endpoint: id, Age: now - h.outages[id].since, Rate: h.outages[id].rate})
+		h.enqueueEvent(rules.RememberedOutage{Endpoint: id, Age: now - h.outages[id].since, Rate: h.outages[id].rate})
 	}
-	for _, k := range h.kept {
-		h.held[k.m.ID] = k
-		h.tell(h.arrived(k, now))
+	for _, held := range h.retained {
+		h.held[held.message.ID] = held
+		h.enqueueEvent(h.arrivedEvent(held, now))
 	}
-	h.kept = nil
+	h.retained = nil
 }
 
-func (h *Host) arrived(k *holding, now time.Duration) rules.Arrived {
-	e := rules.Arrived{ID: k.m.ID, Destination: k.m.Dest, Class: k.m.Class, Tenant: k.m.Tenant, OrderKey: k.m.Key,
-		TimeLeft: k.m.Deadline - now, Prior: rules.PriorAttempts{Count: k.attempts, Failed: k.failed}}
-	if k.mayRun {
-		e.Prior.MayHaveRun, e.Prior.Age, e.Prior.Endpoint = true, now-k.ran, k.ranAt
+// arrivedEvent returns the event that reports a held message to the policy.
+func (h *Host) arrivedEvent(held *heldMessage, now time.Duration) rules.Arrived {
+	m := held.message
+	e := rules.Arrived{
+		ID:          m.ID,
+		Destination: m.Dest,
+		Class:       m.Class,
+		Tenant:      m.Tenant,
+		OrderKey:    m.Key,
+		TimeLeft:    m.Deadline - now,
+		Prior:       rules.PriorAttempts{Count: held.attemptCount, Failed: held.failedCount},
+	}
+	if held.mayHaveRun {
+		e.Prior.MayHaveRun, e.Prior.Age, e.Prior.Endpoint = true, now-held.mayHaveRunAt, held.mayHaveRunEndpoint
 	}
 	return e
 }
 
-// hear lets the judge know what the sender is told of the list.
-func (h *Host) hear(e rules.ListUpdate) rules.ListUpdate {
-	h.w.Judge.ListReceived(h.w.Queue.Now(), h.Number, e)
+// recordListUpdate reports to the judge which list the sender receives.
+func (h *Host) recordListUpdate(e rules.ListUpdate) rules.ListUpdate {
+	h.env.Judge.ListReceived(h.env.Queue.Now(), h.Number, e)
 	return e
 }
 
-// Listed brings news of the list.
+// UpdateList delivers an update of the endpoint list.
 func (h *Host) UpdateList(e rules.ListUpdate) {
 	if h.Up {
-		h.tell(h.hear(e))
+		h.enqueueEvent(h.recordListUpdate(e))
 	}
 }
 
-// tell puts an event into the inbox and asks for a step at the next tick bound.
-func (h *Host) tell(e rules.Event) {
+// enqueueEvent puts an event into the inbox and requests a step at the next tick boundary.
+func (h *Host) enqueueEvent(e rules.Event) {
 	h.inbox = append(h.inbox, e)
-	if h.stepping {
+	if h.stepRequested {
 		return
 	}
-	h.stepping = true
-	tick, now := h.Settings.Tick, h.w.Queue.Now()
+	h.stepRequested = true
+	tick, now := h.Settings.Tick, h.env.Queue.Now()
 	at := (now + tick - 1) / tick * tick
 	if at <= h.lastStep && h.lastStep > 0 {
 		at = h.lastStep + tick
 	}
-	h.w.RequestStep(h, at)
+	h.env.RequestStep(h, at)
 }
 
-// Hand offers a message; false tells that there is no room.
+// Submit offers a message and reports whether it is accepted; it is not when the sender holds MaxHeld messages.
 func (h *Host) Submit(m *model.Message) bool {
 	if len(h.held) >= h.Settings.MaxHeld {
 		return false
 	}
-	h.taken++
-	k := &holding{m: m, seq: h.taken}
-	h.held[m.ID] = k
+	h.accepted++
+	held := &heldMessage{message: m, seq: h.accepted}
+	h.held[m.ID] = held
 	h.PeakHeld = max(h.PeakHeld, len(h.held))
-	now := h.w.Queue.Now()
-	h.w.Judge.MessageAccepted(now, h.Number, m)
-	h.trace(m.ID, "taken by sender %d, destination %d", h.Number, m.Dest)
-	h.tell(h.arrived(k, now))
+	now := h.env.Queue.Now()
+	h.env.Judge.MessageAccepted(now, h.Number, m)
+	h.trace(m.ID, "accepted by sender %d, destination %d", h.Number, m.Dest)
+	h.enqueueEvent(h.arrivedEvent(held, now))
 	return true
 }
 
-// Held is how many messages are held.
+// Held returns the number of messages held.
 func (h *Host) Held() int { return len(h.held) }
 
-// Busy is how many slots are taken.
-func (h *Host) SlotsInUse() int { return h.busy }
+// SlotsInUse returns the number of slots in use.
+func (h *Host) SlotsInUse() int { return h.slotsInUse }
 
-// Decide runs the policy's step. It touches nothing but the sender's own, so steps of several senders may run at once.
+// Decide runs the policy's step. It touches only the sender's own state, so several senders may decide concurrently.
 func (h *Host) Decide(now time.Duration) {
-	h.stepping = false
+	h.stepRequested = false
 	if !h.Up {
 		return
 	}
 	events := h.inbox
 	h.inbox = nil
 	h.lastStep = now
-	h.actions = h.step(now, events)
-	h.remember(now)
+	h.actions = h.stepPolicy(now, events)
+	h.recordOutages(now)
 }
 
-// outage is what is kept of an endpoint taken for out.
+// outage is what is kept about an endpoint that is considered out.
 type outage struct {
 	since time.Duration
-	rate  float64 // calls a second delivered before
+	rate  float64 // calls per second delivered before the outage
 }
 
-// observer is a policy that tells of its endpoints' states.
+// observer is a policy that reports the states of its endpoints.
 type observer interface{ Observe() rules.Observations }
 
-// remember keeps what outlasts the process of a policy's view of its endpoints, as the daemon's ledger does.
-func (h *Host) remember(now time.Duration) {
+// recordOutages keeps the outages that the policy sees across restarts, as the daemon's ledger does.
+func (h *Host) recordOutages(now time.Duration) {
 	o, ok := h.policy.(observer)
 	if !ok {
 		return
@@ -225,166 +242,186 @@
 	}
 }
 
-// step runs the policy; a panic in it is a fault of this sender, which does nothing more.
-func (h *Host) step(now time.Duration, events []rules.Event) (actions []rules.Action) {
+// stepPolicy runs the policy. After a panic in it, which is counted as an invalid action, the sender does nothing
+// more.
+func (h *Host) stepPolicy(now time.Duration, events []rules.Event) (actions []rules.Action) {
 	defer func() {
 		if p := recover(); p != nil {
-			h.fault("the policy panicked: %v", p)
-			h.policy, actions = silent{}, nil
+			h.reportInvalid("the policy panicked: %v", p)
+			h.policy, actions = noActions{}, nil
 		}
 	}()
 	return h.policy.Step(now, events)
 }
 
-// silent is what is left of a policy that panicked.
-type silent struct{}
+// noActions replaces a policy that panicked.
+type noActions struct{}
 
-func (silent) Step(time.Duration, []rules.Event) []rules.Action { return nil }
+func (noActions) Step(time.Duration, []rules.Event) []rules.Action { return nil }
 
-// CarryOut does what the last step asked for.
+// ExecuteActions executes the actions of the last step.
 func (h *Host) ExecuteActions() {
 	actions := h.actions
 	h.actions = nil
 	h.traceTransitions()
-	var fresh []*call
+	var newCalls []*call
 	for _, a := range actions {
 		switch a := a.(type) {
 		case rules.Send:
-			fresh = h.send(fresh, a)
+			newCalls = h.send(newCalls, a)
 		case rules.Refuse:
-			h.end(a.ID, model.Refused, a.RetryAfter)
+			h.endByPolicy(a.ID, model.Refused, a.RetryAfter)
 		case rules.Fail:
-			h.end(a.ID, model.Failed, 0)
+			h.endByPolicy(a.ID, model.Failed, 0)
 		case rules.Cancel:
 			h.cancel(a)
 		case rules.Recall:
 			h.recall(a)
 		case rules.CloseIdle:
-			if p := h.calls[a.Endpoint]; p != nil {
+			if p := h.pools[a.Endpoint]; p != nil {
 				p.CloseIdle()
 			}
 		case rules.WakeAfter:
-			h.wake(a.After)
+			h.scheduleWakeUp(a.After)
 		case rules.Watch:
-			epoch := h.epoch
-			h.w.Registry.Watch(h.Number, func() {
-				if h.epoch == epoch && h.Up {
-					h.tell(rules.DiscoveryFailed{})
-				}
-			})
+			h.watch()
 		case rules.EndpointForgotten:
 		default:
-			h.fault("action %T is not known", a)
+			h.reportInvalid("action %T is not known", a)
 		}
 	}
-	for _, c := range fresh {
+	for _, c := range newCalls {
 		h.launch(c)
 	}
 }
 
-func (h *Host) fault(format string, args ...any) { h.InvalidActions[fmt.Sprintf(format, args...)]++ }
+// watch subscribes to list updates; a failure of the call is reported to the policy.
+func (h *Host) watch() {
+	epoch := h.epoch
+	h.env.Registry.Watch(h.Number, func() {
+		if h.epoch == epoch && h.Up {
+			h.enqueueEvent(rules.DiscoveryFailed{})
+		}
+	})
+}
+
+// reportInvalid counts an action that cannot be executed.
+func (h *Host) reportInvalid(format string, args ...any) {
+	h.InvalidActions[fmt.Sprintf(format, args...)]++
+}
 
-// traceTransitions tells of the changes of endpoints' states that the last step brought.
+// traceTransitions traces the changes of endpoint states in the last step.
 func (h *Host) traceTransitions() {
-	if h.w.Trace == nil {
+	if h.env.Trace == nil {
 		return
 	}
 	for _, t := range h.transitions {
-		h.w.Trace("sender %d: endpoint %d goes from %v to %v (%s), %d failures, failing for %v, next call in %v", h.Number, t.Endpoint,
-			t.From, t.To, t.Cause, t.ConsecutiveFailures, (t.At - t.FailingSince).Round(time.Millisecond), t.CallInterval.Round(time.Millisecond))
+		h.env.Trace("sender %d: endpoint %d changes from %v to %v (%s), %d failures, failing for %v, next call in %v",
+			h.Number, t.Endpoint, t.From, t.To, t.Cause, t.ConsecutiveFailures,
+			(t.At - t.FailingSince).Round(time.Millisecond), t.CallInterval.Round(time.Millisecond))
 	}
 }
 
 func (h *Host) trace(id rules.MessageID, format string, args ...any) {
-	if h.w.Trace != nil {
-		h.w.Trace("%s: "+format, append([]any{id}, args...)...)
+	if h.env.Trace != nil {
+		h.env.Trace("%s: "+format, append([]any{id}, args...)...)
 	}
 }
 
-// wake schedules a wake-up. One in the past comes at the next tick, and is a fault.
-func (h *Host) wake(after time.Duration) {
+// scheduleWakeUp schedules a wake-up. One in the past is moved to the next tick and counted as an invalid action.
+func (h *Host) scheduleWakeUp(after time.Duration) {
 	if after <= 0 {
-		h.fault("a wake-up in the past was asked for")
+		h.reportInvalid("a wake-up in the past was asked for")
 		after = h.Settings.Tick
 	}
 	epoch := h.epoch
 	h.timers.After(after, func() {
 		if h.Up && h.epoch == epoch {
-			h.tell(rules.WakeUp{})
+			h.enqueueEvent(rules.WakeUp{})
 		}
 	})
 }
 
-// end ends a message by the policy's word.
-func (h *Host) end(id rules.MessageID, end model.End, advice time.Duration) {
-	k := h.held[id]
-	if k == nil {
-		h.w.Judge.MessageEnded(h.w.Queue.Now(), h.Number, id, end)
+// endByPolicy ends a message as the policy decided. The judge also learns of an end of a message that is not held.
+func (h *Host) endByPolicy(id rules.MessageID, end model.End, retryAfter time.Duration) {
+	held := h.held[id]
+	if held == nil {
+		h.env.Judge.MessageEnded(h.env.Queue.Now(), h.Number, id, end)
 		return
 	}
-	h.over(k, end, advice)
+	h.finishMessage(held, end, retryAfter)
 }
 
-func (h *Host) over(k *holding, end model.End, advice time.Duration) {
-	now := h.w.Queue.Now()
-	k.over = true
-	delete(h.held, k.m.ID)
-	h.w.Judge.MessageEnded(now, h.Number, k.m.ID, end)
-	h.w.Recorder.MessageEnded(now, h.Number, k.m, end)
-	h.trace(k.m.ID, "%v%s", end, adviceText(advice))
-	h.w.Clients.MessageEnded(k.m, end, advice)
+// finishMessage records the end of a message and notifies its client.
+func (h *Host) finishMessage(held *heldMessage, end model.End, retryAfter time.Duration) {
+	now := h.env.Queue.Now()
+	held.finished = true
+	delete(h.held, held.message.ID)
+	h.env.Judge.MessageEnded(now, h.Number, held.message.ID, end)
+	h.env.Recorder.MessageEnded(now, h.Number, held.message, end)
+	h.trace(held.message.ID, "%v%s", end, retryAfterSuffix(retryAfter))
+	h.env.Clients.MessageEnded(held.message, end, retryAfter)
 }
 
-func adviceText(d time.Duration) string {
+// retryAfterSuffix returns the end of a trace line for a Retry-After, empty for none.
+func retryAfterSuffix(d time.Duration) string {
 	if d == 0 {
 		return ""
 	}
-	return fmt.Sprintf(", to come back in %v", d.Round(time.Millisecond))
+	return fmt.Sprintf(", retry after %v", d.Round(time.Millisecond))
 }
 
-// Stop ends the process at once. With its state kept, what it held comes back at the next start; else the messages are
-// returned for their clients to hand in again, with those that may have run marked.
+// Stop kills the process. If its state is kept, the held messages are restored at the next start; otherwise they are
+// returned for their clients to submit again, marked where they may have run.
 func (h *Host) Stop(kept bool) (lost []*model.Message) {
 	if !h.Up {
 		return nil
 	}
 	h.Up, h.policy = false, nil
 	h.epoch++
-	h.w.Judge.SenderStopped(h.Number, kept)
-	var all []*holding
-	for _, k := range h.held {
-		all = append(all, k)
+	h.env.Judge.SenderStopped(h.Number, kept)
+	var all []*heldMessage
+	for _, held := range h.held {
+		all = append(all, held)
 	}
-	slices.SortFunc(all, func(a, b *holding) int { return cmp.Compare(a.seq, b.seq) })
-	for _, k := range all {
-		for _, f := range k.out {
-			if !k.mayRun || f.call.Sent < k.ran {
-				k.mayRun, k.ran, k.ranAt = true, f.call.Sent, f.call.pool.ep.ID
-			}
-			f.done = true
-		}
-		k.out = nil
+	slices.SortFunc(all, func(a, b *heldMessage) int { return cmp.Compare(a.seq, b.seq) })
+	for _, held := range all {
+		held.abandonAttempts()
 	}
-	for c := range h.live { // also those whose messages have ended
+	for c := range h.inFlight { // also calls whose messages have all ended
 		c.Abandoned = true
 		if c.conn != nil {
 			c.conn.Close()
 		}
 	}
-	for _, p := range h.calls {
+	for _, p := range h.pools {
 		p.CloseIdle()
 	}
-	h.held, h.inbox, h.live, h.flights = nil, nil, nil, nil
-	if !kept {
-		clear(h.outages)
-	}
+	h.held, h.inbox, h.inFlight, h.attempts = nil, nil, nil, nil
 	if kept {
-		h.kept = all
+		h.retained = all
 		return nil
 	}
-	for _, k := range all {
-		k.m.MayHaveRun = k.mayRun
-		lost = append(lost, k.m)
+	clear(h.outages)
+	for _, held := range all {
+		held.message.MayHaveRun = held.mayHaveRun
+		lost = append(lost, held.message)
 	}
 	return lost
 }
+
+// abandonAttempts ends the attempts in flight without an outcome; each of them may have run.
+func (m *heldMessage) abandonAttempts() {
+	for _, att := range m.inFlight {
+		m.noteMayHaveRun(att.call.Sent, att.call.pool.endpoint.ID)
+		att.done = true
+	}
+	m.inFlight = nil
+}
+
+// noteMayHaveRun records that the attempt sent at a time may have run, if it is the earliest.
+func (m *heldMessage) noteMayHaveRun(sent time.Duration, ep rules.EndpointID) {
+	if !m.mayHaveRun || sent < m.mayHaveRunAt {
+		m.mayHaveRun, m.mayHaveRunAt, m.mayHaveRunEndpoint = true, sent, ep
+	}
+}
