--- a/lab/sender/calls.go
+++ b/lab/sender/calls.go
@@ -193,7 +193,7 @@
 		if o.NoAnswer {
 			return
 		}
-		h.answers.After(h.env.Network.OneWayDelay(ep.Zone, h.Zone), func() {
+		h.transit.After(h.env.Network.OneWayDelay(ep.Zone, h.Zone), func() {
 			if h.epoch == epoch {
 				h.applyOutcome(c, o)
 			}
@@ -205,7 +205,7 @@
 		return
 	}
 	h.env.Recorder.CallSent(now, &c.Call, ep.Unit, true)
-	h.answers.After(h.env.Network.HandshakeDelay(h.Zone, ep.Zone), func() {
+	h.transit.After(h.env.Network.HandshakeDelay(h.Zone, ep.Zone), func() {
 		if h.epoch == epoch && !c.Abandoned {
 			h.connect(c, now)
 		}
@@ -218,7 +218,7 @@
 	conn, limitReached, noAnswer := c.pool.endpoint.Connect(&c.pool.Pool, h.env.Queue.Now())
 	switch {
 	case noAnswer:
-		h.answers.At(max(started+h.Settings.ConnectTimeout, h.env.Queue.Now()), func() {
+		h.transit.At(max(started+h.Settings.ConnectTimeout, h.env.Queue.Now()), func() {
 			if h.epoch == epoch {
 				h.applyOutcome(c, model.Outcome{Result: rules.ConnectError})
 			}
@@ -234,7 +234,7 @@
 // deliver brings a call to its endpoint after the transit time.
 func (h *Host) deliver(c *call) {
 	ep, conn := c.pool.endpoint, c.conn
-	h.answers.After(h.env.Network.OneWayDelay(h.Zone, ep.Zone), func() { ep.Receive(&c.Call, conn) })
+	h.transit.After(h.env.Network.OneWayDelay(h.Zone, ep.Zone), func() { ep.Receive(&c.Call, conn) })
 }
 
 // applyOutcome ends all open attempts of a call and returns or closes its connection.
--- a/lab/sender/sender.go
+++ b/lab/sender/sender.go
@@ -73,8 +73,8 @@
 	inFlight       map[*call]bool
 	attempts       map[attemptKey]*attempt // in flight
 	slotsInUse     int
-	answers        *clock.Scheduler
-	timers         *clock.Scheduler
+	transit        *clock.Scheduler // connects, calls and outcomes on their way
+	timers         *clock.Scheduler // timeouts and wake-ups
 	actions        []rules.Action
 
 	transitions []rules.Transition // of the last step
@@ -108,7 +108,7 @@
 		Settings:       set,
 		InvalidActions: map[string]int{},
 		env:            env,
-		answers:        env.Queue.NewScheduler(clock.Answer, number),
+		transit:        env.Queue.NewScheduler(clock.Answer, number),
 		timers:         env.Queue.NewScheduler(clock.Timer, number),
 		outages:        map[rules.EndpointID]outage{},
 	}
