--- a/rules/breaker_test.go
+++ b/rules/breaker_test.go
@@ -89,7 +89,7 @@
 }
 
 // When one sender gets a long Retry-After, the destination is cold for all senders that learn of it: many that each
-// try once as it opens overload it, all the more as each has seen a single refusal. Seen on a random day of scenario
+// try once as it opens overload it, all the more as each has seen a single refusal. Seen on a random day of deployment
 // tas-members, with faults fast_errors and heavy_tail.
 func TestRetryAfterHintStartsSlowStart(t *testing.T) {
 	shareHints := func(s *Settings) { s.MayShareHints, s.Senders, s.RatesListed, s.RatesExact = true, 200, true, true }
--- a/rules/health_test.go
+++ b/rules/health_test.go
@@ -72,8 +72,8 @@
 }
 
 // A keyed call whose answer is lost blocks its order key and uses up its deduplication window. So it must time out
-// while the window still allows another attempt. Seen in the recorded incident i28b6e2 of scenario kl-head-office,
-// where a third of the answers is lost.
+// while the window still allows another attempt. Seen in the recorded incident i28b6e2 of deployment
+// kl-head-office, where a third of the answers is lost.
 func TestKeyedCallTimesOutWithinDedupWindow(t *testing.T) {
 	b := newBench(t, nil)
 	b.serve(20, safe, 11)
@@ -205,7 +205,7 @@
 	}
 }
 
-// All calls may become slow at once, and then no single endpoint is late. Seen on day h4ae20d of scenario
+// All calls may become slow at once, and then no single endpoint is late. Seen on day h4ae20d of deployment
 // kl-head-office, which "eiderlab hunt" found.
 func TestLateAfterAllowsForGeneralSlowness(t *testing.T) {
 	var entries []Entry
--- a/rules/ratecontrol_test.go
+++ b/rules/ratecontrol_test.go
@@ -191,7 +191,7 @@
 }
 
 // Where everything is refused, as in a hang with a full queue, hundreds of senders that each kept to minRate would
-// overload the endpoint as it returns. Seen on day h520c76 of scenario kl-head-office, which "eiderlab hunt" found.
+// overload the endpoint as it returns. Seen on day h520c76 of deployment kl-head-office, which "eiderlab hunt" found.
 func TestMinRateHoldsForFirstRefusalInARow(t *testing.T) {
 	b := newBench(t, func(s *Settings) { s.Senders = 261 })
 	for i, want := range []float64{minRate, 0.7, 0.49, 0.343, minRate} {
@@ -208,7 +208,7 @@
 
 // During a hang with a full queue a destination refuses all calls. The senders of a large fleet that have little
 // traffic have each seen a refusal or two when it returns, and all of them at their rates would overload it. Seen in
-// scenarios kernarchiv-hochdorf (the standard overload day) and dudley-yard-later (day big-1), both after a hang of
+// deployments kernarchiv-hochdorf (the standard overload day) and dudley-yard-later (day big-1), both after a hang of
 // about 19 s. The case in which each sender's first refusal comes in the last seconds of the hang was seen on day
 // h5c6921 of dudley-yard-later, which "eiderlab hunt" found.
 func TestLargeFleetStartsSlowAfterOutageOfRefusals(t *testing.T) {
--- a/rules/restart_test.go
+++ b/rules/restart_test.go
@@ -59,7 +59,8 @@
 					Prior:       PriorAttempts{Count: failed, Failed: failed},
 				}}
 				for range 7 {
-					events = append(events, Arrived{ID: b.newMessageID(), Destination: 1, Class: safe, TimeLeft: 12 * sec})
+					unsent := Arrived{ID: b.newMessageID(), Destination: 1, Class: safe, TimeLeft: 12 * sec}
+					events = append(events, unsent)
 				}
 				b.step(events...)
 				b.run(6*sec, always(OK, 50*ms))
@@ -94,7 +95,7 @@
 	}
 }
 
-// In a large fleet a process that is told of an earlier outage limits its calls. In a small fleet the senders find out
+// In a large fleet a process that learns of an earlier outage limits its calls. In a small fleet the senders find out
 // for themselves.
 func TestRememberedOutageLimitsCalls(t *testing.T) {
 	for _, c := range []struct{ senders, calls int }{{300, 0}, {2, 1}} {
--- a/rules/scheduling_test.go
+++ b/rules/scheduling_test.go
@@ -174,7 +174,7 @@
 }
 
 // Where answers are lost, calls that will never be answered soon use all slots, in a large fleet too. So a message
-// that may not be repeated does not keep its slot for longer than others there (incident i2b2ba7 of scenario
+// that may not be repeated does not keep its slot for longer than others there (incident i2b2ba7 of deployment
 // linen-hub-ebene).
 func TestLongOverdueCallIsCancelledInAnyFleet(t *testing.T) {
 	for _, c := range []struct {
--- a/rules/suspicion_test.go
+++ b/rules/suspicion_test.go
@@ -1,4 +1,4 @@
-// Tests how a sender treats an endpoint after a failure, as long as it does not take the endpoint for down.
+// Tests how a sender treats an endpoint after a failure, as long as it does not consider the endpoint down.
 
 package rules
 
