--- a/rules/api.go
+++ b/rules/api.go
@@ -256,7 +256,7 @@
 // Refuse ends a message and tells the client that submitting it again is harmless.
 type Refuse struct {
 	ID         MessageID
-	RetryAfter time.Duration // when to submit it again; 0 for no advice
+	RetryAfter time.Duration // after which time to submit it again; 0 if none is given
 }
 
 // Fail ends a message without that assurance: it may have taken effect.
--- a/rules/backlog.go
+++ b/rules/backlog.go
@@ -249,10 +249,13 @@
 	message *message
 }
 
+// cleanupSlack keeps small collections from being cleaned up again and again.
+const cleanupSlack = 64 // elements
+
 // addTimer adds a timer. So that the heap stays bounded, it first removes timers of messages that are done, each time
 // the number of timers has doubled.
 func (s *Sender) addTimer(h *timerHeap, m *message, at time.Duration) {
-	if len(h.timers) > max(h.maxBeforeCleanup, 2*len(s.held)+64) {
+	if len(h.timers) > max(h.maxBeforeCleanup, 2*len(s.held)+cleanupSlack) {
 		h.timers = slices.DeleteFunc(h.timers, func(t messageTimer) bool { return t.message.done() })
 		for i := len(h.timers)/2 - 1; i >= 0; i-- {
 			siftDown(h.timers, i, messageTimer.earlier)
--- a/rules/health.go
+++ b/rules/health.go
@@ -1,6 +1,6 @@
 // This file owns the health that a sender ascribes to an endpoint: what outcomes and missing answers show
-// about it, and how long the sender waits for an answer. It must never take an endpoint that may be cold
-// for healthy without a slow start.
+// about it, and how long the sender waits for an answer. It must never treat an endpoint that may be
+// cold as healthy without a slow start.
 
 package rules
 
@@ -17,7 +17,8 @@
 	// An endpoint is not cold after an outage shorter than this.
 	maxBriefOutage = 3 * time.Second
 
-	// Weights of the smoothing of latency and its deviation, as in the retransmission timer of TCP (RFC 6298).
+	// Smoothing of latency and its deviation, as in the retransmission timer of TCP (RFC 6298), except that a
+	// new sample has a weight of 1/8 for the deviation too, where the RFC has 1/4.
 	latencyGain             = 0.125 // weight of a new sample
 	lateDeviations          = 4     // deviations above the mean at which an answer is late
 	initialDeviationDivisor = 2     // the deviation starts as this part of the first sample: 1/2
@@ -73,7 +74,7 @@
 		return initialLateAfter
 	}
 	slowness := min(max(s.slowness, 1), maxSlowness)
-	late := seconds((t.latency + lateDeviations*t.spread) * slowness)
+	late := seconds((t.latency + lateDeviations*t.deviation) * slowness)
 	return min(max(late, minLateAfter), maxLateAfter)
 }
 
@@ -81,11 +82,11 @@
 	sample := elapsed.Seconds()
 	if !t.known {
 		t.latency = sample
-		t.spread = sample / initialDeviationDivisor
+		t.deviation = sample / initialDeviationDivisor
 		t.known = true
 		return
 	}
-	t.spread += latencyGain * (math.Abs(sample-t.latency) - t.spread)
+	t.deviation += latencyGain * (math.Abs(sample-t.latency) - t.deviation)
 	t.latency += latencyGain * (sample - t.latency)
 }
 
@@ -193,9 +194,9 @@
 	if endpoint.consecutiveFailures == 1 && endpoint.health == healthy {
 		endpoint.failingSince = sentAt
 	}
-	late := outcome == Reset && s.now-sentAt > handshakeTime ||
+	failedLate := outcome == Reset && s.now-sentAt > handshakeTime ||
 		outcome == ConnectError && s.now-sentAt > minLateAfter
-	if late && s.treatsAsOutage() {
+	if failedLate && s.treatsAsOutage() {
 		// A hang, or a time without any answer, may end for all senders at once, and a brief pause would not spread
 		// out their retries.
 		endpoint.consecutiveFailures = max(endpoint.consecutiveFailures, 2)
--- a/rules/observe.go
+++ b/rules/observe.go
@@ -73,7 +73,8 @@
 	Transitions []Transition
 	Undelivered []Undelivered
 
-	// Deferred counts how often slow start, probation or the pause after a failure kept an endpoint from waiting messages.
+	// Deferred counts how often slow start, probation or the pause after a failure kept waiting messages from an
+	// endpoint.
 	Deferred int
 }
 
--- a/rules/pack.go
+++ b/rules/pack.go
@@ -34,6 +34,9 @@
 	codeSeen
 )
 
+// maxPackedNanos limits what codeSeconds can stand for, in nanoseconds: up to here a float holds whole numbers exactly.
+const maxPackedNanos = 1e15
+
 // newPacker returns a packer that reads data or, if reading is not set, appends to it. The values 1 and 1.0 count as
 // seen from the start.
 func newPacker(data []byte, reading bool) *packer {
@@ -77,7 +80,7 @@
 	if code == codeNumber {
 		f := math.Float64frombits(v)
 		// For a NaN the result is arbitrary and does not compare equal below.
-		ns := time.Duration(min(max(math.Round(f*1e9), -1e15), 1e15))
+		ns := time.Duration(min(max(math.Round(f*1e9), -maxPackedNanos), maxPackedNanos))
 		switch v {
 		case math.Float64bits(p.lastNumber / 2):
 			code = codeHalf
@@ -219,40 +222,40 @@
 // classes packs the classes of an endpoint that have any state, then a zero.
 func (p *packer) classes(ep *endpointState) {
 	if p.reading {
-		for v := new(classHealth); p.classHealth(v); v = new(classHealth) {
-			v.next, ep.classes = ep.classes, v
+		for h := new(classHealth); p.classHealth(h); h = new(classHealth) {
+			h.next, ep.classes = ep.classes, h
 		}
 		return
 	}
-	for v := ep.classes; v != nil; v = v.next {
-		if *v != (classHealth{class: v.class, next: v.next}) {
-			p.classHealth(v)
+	for h := ep.classes; h != nil; h = h.next {
+		if *h != (classHealth{class: h.class, next: h.next}) {
+			p.classHealth(h)
 		}
 	}
 	p.classHealth(nil)
 }
 
 // classHealth packs one class, or a zero for nil, and reports whether there was one.
-func (p *packer) classHealth(v *classHealth) bool {
+func (p *packer) classHealth(h *classHealth) bool {
 	number := 0 // of the class, plus 1
-	if v != nil {
-		number = v.class + 1
+	if h != nil {
+		number = h.class + 1
 	}
 	if packCount(p, &number); number == 0 {
 		return false
 	}
-	v.class = number - 1
-	p.timing(&v.timing)
-	p.decayingRate(&v.hints)
-	packCount(p, &v.consecutiveFailures)
-	p.time(&v.openUntil)
+	h.class = number - 1
+	p.timing(&h.timing)
+	p.decayingRate(&h.hints)
+	packCount(p, &h.consecutiveFailures)
+	p.time(&h.openUntil)
 	return true
 }
 
 func (p *packer) timing(t *timing) {
 	p.flag(&t.known)
 	p.number(&t.latency)
-	p.number(&t.spread)
+	p.number(&t.deviation)
 }
 
 func (p *packer) decayingRate(m *decayingRate) {
--- a/rules/record.go
+++ b/rules/record.go
@@ -107,15 +107,15 @@
 
 // removeDestination removes the destination with the given last endpoint and returns its endpoints by seq.
 func (r *recordTable) removeDestination(last uint32) []record {
-	var all []record
+	var removed []record
 	r.byDest.Remove(r.list[last].destination)
 	for at := r.list[last].next; ; at = r.list[at].next {
-		all = append(all, r.list[at])
+		removed = append(removed, r.list[at])
 		r.byID.Remove(r.list[at].id)
 		r.free = append(r.free, at)
 		r.list[at].flags = 0
 		if at == last {
-			return all
+			return removed
 		}
 	}
 }
@@ -139,8 +139,8 @@
 		return nil
 	}
 	d := s.newDestination(int(dest))
-	all := s.records.removeDestination(last)
-	for _, r := range all {
+	removed := s.records.removeDestination(last)
+	for _, r := range removed {
 		ep := s.addEndpoint(d, r.id, r.seq, int(r.kind))
 		ep.zone, ep.listedRate, ep.inService = int(r.zone), r.listedRate, r.flags&flagInService != 0
 		if r.flags&flagGone != 0 {
@@ -154,7 +154,7 @@
 		}
 	}
 	d.seq = d.endpoints[0].seq
-	if state := all[len(all)-1].state; state != 0 {
+	if state := removed[len(removed)-1].state; state != 0 {
 		newPacker(s.records.states.get(state), true).destination(d)
 		s.records.states.drop(state)
 	}
@@ -443,18 +443,22 @@
 	free []uint32 // indexes of free places
 }
 
-const stateIndexBits = 24
+const (
+	stateIndexBits = 24
+	sizeStep       = 8  // bytes
+	linearSizes    = 32 // size classes in steps of sizeStep
+)
 
 // put stores a packed state and returns its number, 0 for an empty one. It reports false if there are no numbers left.
 func (t *packedStates) put(packed []byte) (number uint32, ok bool) {
 	if len(packed) == 0 {
 		return 0, true
 	}
-	class := (len(packed) + 7) / 8
-	size := 8 * class
-	if class > 32 {
-		class = 32 + bits.Len(uint((len(packed)-1)/256))
-		size = 256 << (class - 32)
+	class := (len(packed) + sizeStep - 1) / sizeStep
+	size := sizeStep * class
+	if class > linearSizes {
+		class = linearSizes + bits.Len(uint((len(packed)-1)/(linearSizes*sizeStep)))
+		size = linearSizes * sizeStep << (class - linearSizes)
 	}
 	if class >= len(t) {
 		return 0, false
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -42,8 +42,8 @@
 	for _, e := range events {
 		s.handleEvent(e)
 	}
-	// Only after all events: failures restored from the first arrival alone would set a rate that lasts longer
-	// than those of the others.
+	// Only after all events, as what follows from restored failures holds for all messages that arrive together.
+	// Set by the first of them alone, it could outlast the deadlines of the others in a large fleet.
 	for _, e := range events {
 		if a, arrived := e.(Arrived); arrived && a.Prior.indicatesOutage() {
 			s.restoreFailures(a)
@@ -110,8 +110,8 @@
 }
 
 // recallUnavailable recalls earlier calls to endpoints that have become unavailable, as far as they are not
-// fully written: their connection may come up after the time that a drain or a Retry-After leaves for calls
-// on the way. The cost is connections that are opened for nothing.
+// fully written: their connection may only be established after the time that a drain or a Retry-After allows
+// for calls on the way. The cost is connections that are opened for nothing.
 func (s *Sender) recallUnavailable() {
 	for _, c := range s.calls {
 		if s.unavailable(c.endpoint) {
@@ -123,11 +123,12 @@
 // withinDedupScope reports whether a message that may have run is within the scope of its deduplication
 // key at an endpoint. The time window of the key is checked by exhausted.
 func withinDedupScope(message *message, endpoint *endpointState) bool {
-	// ranOn is nil if an earlier process sent the message to an endpoint that is no longer listed.
-	ranOn := message.mayHaveRunOn
+	// Nil if an earlier process sent the message to an endpoint that is no longer listed.
+	mayHaveRunOn := message.mayHaveRunOn
 	scope := message.class.Scope
 	return message.class.Effect != Keyed || message.mayHaveRunSince == never || scope == DedupDestination ||
-		ranOn == endpoint || scope == DedupZone && ranOn != nil && ranOn.zone == endpoint.zone
+		mayHaveRunOn == endpoint ||
+		scope == DedupZone && mayHaveRunOn != nil && mayHaveRunOn.zone == endpoint.zone
 }
 
 // nextInOrder reports whether a message is the first of its order key and no earlier one of the key is
--- a/rules/slowstart.go
+++ b/rules/slowstart.go
@@ -31,7 +31,7 @@
 	// Unless listed rates are exact, one may be higher than the true rate by this factor.
 	listedRateError = 1.1
 
-	// Share of its capacity that an endpoint delivers in good times, at most.
+	// Share of its capacity that an endpoint delivers in normal operation, at most.
 	maxUsualLoad = 0.85
 
 	// Share of a sender's demand that stands in for a rate that is neither listed nor measured yet.
@@ -63,7 +63,7 @@
 	// root of the mean.
 	chanceDeviations = 2.0
 
-	// A cold endpoint bears the calls of its budget and, for chance, two roots of the budget and two
+	// A cold endpoint withstands the calls of its budget and, for chance, two roots of the budget and two
 	// calls. For a budget of less than smallBudget calls it is three roots and three calls.
 	chanceAllowance      = 2
 	smallBudget          = 30
@@ -166,9 +166,9 @@
 	return max(0, rate-s.failureWeight()/trafficSpan.Seconds())
 }
 
-// warmCapacity returns the share of its capacity that an endpoint must have back for the next call. A
-// budget covers the calls of a fall window, of which the last meets the capacity that is back by then. For
-// calls at an even rate that is half a window later on average.
+// warmCapacity returns the share of its capacity that an endpoint must have regained for the next call.
+// A budget covers the calls of a fall window, of which the last meets the capacity that is regained by then.
+// For calls at an even rate that is half a window later on average.
 func (s *Sender) warmCapacity(endpoint *endpointState) float64 {
 	elapsed := 0.0
 	if endpoint.health == slowStart {
@@ -248,16 +248,16 @@
 
 // budgetFraction returns the fraction of a budget, in calls, that informed senders may use on average: with
 // chanceDeviations standard deviations on top they stay below breachShare of the calls that a cold endpoint
-// bears.
+// withstands.
 func budgetFraction(budget float64) float64 {
 	budget = max(budget, 1)
 	root := math.Sqrt(budget)
-	bears := budget + chanceAllowance*root + chanceAllowance
+	withstands := budget + chanceAllowance*root + chanceAllowance
 	if budget < smallBudget {
-		bears = budget + smallBudgetAllowance*root + smallBudgetAllowance
+		withstands = budget + smallBudgetAllowance*root + smallBudgetAllowance
 	}
-	// Solves mean + chanceDeviations*sqrt(mean) = breachShare*bears for sqrt(mean).
-	meanRoot := (math.Sqrt(chanceDeviations*chanceDeviations+4*breachShare*bears) - chanceDeviations) / 2
+	// Solves mean + chanceDeviations*sqrt(mean) = breachShare*withstands for sqrt(mean).
+	meanRoot := (math.Sqrt(chanceDeviations*chanceDeviations+4*breachShare*withstands) - chanceDeviations) / 2
 	return meanRoot * meanRoot / budget
 }
 
@@ -302,7 +302,7 @@
 	return interval
 }
 
-// slowStartAdmits returns the earliest time at which slow start lets a call go to an endpoint. Every call
+// slowStartAdmits returns the earliest time at which slow start permits a call to an endpoint. Every call
 // is subject to it.
 func (s *Sender) slowStartAdmits(endpoint *endpointState) time.Duration {
 	at := time.Duration(0)
@@ -318,7 +318,7 @@
 	return at
 }
 
-// earliestSend returns the earliest time at which rate controller and health let a call go to an endpoint.
+// earliestSend returns the earliest time at which rate controller and health permit a call to an endpoint.
 func (s *Sender) earliestSend(endpoint *endpointState) time.Duration {
 	controller := &endpoint.limitScope.controller
 	controller.expire(s.expiryCheckedAt)
--- a/rules/state.go
+++ b/rules/state.go
@@ -18,13 +18,13 @@
 	last time.Duration // time of the last addition
 }
 
-func (m *decayingRate) add(now, span time.Duration, n float64) {
-	m.sum = m.sum*math.Exp(-(now-m.last).Seconds()/span.Seconds()) + n
-	m.last = now
+func (r *decayingRate) add(now, span time.Duration, n float64) {
+	r.sum = r.sum*math.Exp(-(now-r.last).Seconds()/span.Seconds()) + n
+	r.last = now
 }
 
-func (m *decayingRate) perSecond(now, span time.Duration) float64 {
-	return m.sum * math.Exp(-(now-m.last).Seconds()/span.Seconds()) / span.Seconds()
+func (r *decayingRate) perSecond(now, span time.Duration) float64 {
+	return r.sum * math.Exp(-(now-r.last).Seconds()/span.Seconds()) / span.Seconds()
 }
 
 // limitScope is what shares one rate limit: a destination, or a single endpoint if its kind has RoutesApart.
@@ -33,7 +33,7 @@
 	inFlight            int           // calls
 	consecutiveRefusals int           // refusals since the last answer
 	firstRefusedAt      time.Duration // send time of the first of them
-	reportedLimit       float64       // calls a second over all senders, as the destination reported it; 0 if it did not
+	reportedLimit       float64       // calls a second over all senders, reported by the destination; 0 for none
 	lastAnsweredAt      time.Duration // 0 for no answer yet
 }
 
@@ -58,8 +58,8 @@
 
 // timing is how long calls take to be answered, smoothed exponentially.
 type timing struct {
-	latency, spread float64 // mean and mean deviation, in seconds
-	known           bool    // at least one sample was taken
+	latency, deviation float64 // mean and mean deviation, in seconds
+	known              bool    // at least one sample was taken
 }
 
 // classHealth is how an endpoint treats one class. It may fail or ignore calls of one class and serve the others.
@@ -81,7 +81,7 @@
 	destination     *destinationState
 	limitScope      *limitScope
 	inService       bool // listed and not draining
-	gone            bool // not listed any more
+	gone            bool // no longer listed
 	goneAt          time.Duration
 	departureNumber int     // rank of its latest departure among all departures
 	listedRate      float64 // calls a second; 0 if not listed
@@ -350,11 +350,16 @@
 
 // backlogSeconds returns how many seconds it takes to deliver a destination's messages at its recent rate.
 func (s *Sender) backlogSeconds(d *destinationState) float64 {
-	return float64(d.held) / max(d.servedRate.perSecond(s.now, trafficSpan), 1e-3)
+	return float64(d.held) / max(d.servedRate.perSecond(s.now, trafficSpan), minDivisor)
 }
 
-// seconds converts x seconds, up to a limit of 1e6, to a Duration.
-func seconds(x float64) time.Duration { return time.Duration(min(x, 1e6) * float64(time.Second)) }
+// maxSeconds is the longest time that seconds returns, so that the conversion cannot overflow.
+const maxSeconds = 1e6
+
+// seconds converts x seconds, up to a limit of maxSeconds, to a Duration.
+func seconds(x float64) time.Duration {
+	return time.Duration(min(x, maxSeconds) * float64(time.Second))
+}
 
 // without removes the first x from a list, in place.
 func without[T comparable](list []T, x T) []T {
@@ -448,7 +453,7 @@
 // dropIdleOrderQueues removes the order queues that have no effect any more. It does so each time their number has
 // doubled.
 func (s *Sender) dropIdleOrderQueues() {
-	if len(s.orderQueues) < 2*s.orderQueuesKept+64 {
+	if len(s.orderQueues) < 2*s.orderQueuesKept+cleanupSlack {
 		return
 	}
 	maps.DeleteFunc(s.orderQueues, func(_ string, q *orderQueue) bool {
@@ -561,9 +566,9 @@
 
 // classHealth returns how an endpoint treats a class.
 func (ep *endpointState) classHealth(class int) *classHealth {
-	for v := ep.classes; v != nil; v = v.next {
-		if v.class == class {
-			return v
+	for h := ep.classes; h != nil; h = h.next {
+		if h.class == class {
+			return h
 		}
 	}
 	ep.classes = &classHealth{class: class, next: ep.classes}
--- a/rules/suspicion.go
+++ b/rules/suspicion.go
@@ -1,5 +1,5 @@
 // This file owns suspicion: how a sender treats an endpoint whose latest outcome is a failure, as long as
-// it does not take the endpoint for down. The senders of a small fleet go on as before. In a large fleet
+// it does not consider the endpoint down. The senders of a small fleet go on as before. In a large fleet
 // each waits briefly and then lets a single call find out. Suspicion ends with an answer to a later call,
 // or with probation. It must never let many senders go on at the same moment.
 
@@ -50,7 +50,7 @@
 }
 
 // expireSuspicions puts endpoints on probation whose latest outcome is a failure that no call has followed
-// up in time. A brief pause spreads out calls that follow failures as these happen. It doesn't spread out
+// up in time. A brief pause spreads out calls that follow failures as these happen. It does not spread out
 // calls that had to wait for a slot or a message: they would leave from many senders at the same moment, as
 // slots become free by what ends for all senders at once.
 func (s *Sender) expireSuspicions() {
