--- a/internal/exchange/directory.go
+++ b/internal/exchange/directory.go
@@ -269,12 +269,13 @@
 }
 
 func (a *stringArena) get(offset uint32) (name, addr string) {
-	s, n, m := a.entry(offset)
-	return s[:n], s[n : n+m]
+	s, nameLen, addrLen := a.entry(offset)
+	return s[:nameLen], s[nameLen : nameLen+addrLen]
 }
 
 // markDead counts an entry that is no longer used, with one byte for each of its lengths.
 func (a *stringArena) markDead(offset uint32) {
-	_, n, m := a.entry(offset)
-	a.deadBytes += n + m + 2
+	_, nameLen, addrLen := a.entry(offset)
+	const lengthBytes = 2 // of both lengths
+	a.deadBytes += nameLen + addrLen + lengthBytes
 }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -28,7 +28,7 @@
 )
 
 // Answer is the verdict on a message. If the message was refused, RetryAfter is how long the client should wait
-// before it submits the message again, or 0 if there is no advice.
+// before it submits the message again, or 0 if that is not given.
 type Answer struct {
 	Verdict    Verdict
 	RetryAfter time.Duration
@@ -68,7 +68,7 @@
 	// Cancel abandons the call, whatever its progress. Its result is still passed to Exchange.Finish.
 	Cancel()
 	// Recall withdraws the call unless its last byte has been written or is being written. If it returns true, the
-	// call has not reached the endpoint and never will, and a result that is still passed in is ignored. If it
+	// call has not reached the endpoint completely and never will, and a result that is still passed in is ignored. If it
 	// returns false, the call goes on.
 	Recall() bool
 }
@@ -140,7 +140,7 @@
 	firstEventAt  time.Duration  // when the oldest of events was noticed, negative if there are none
 	lastStep      time.Duration
 	counts        Counts
-	stopping      bool // the last step is under way
+	stopping      bool // the last step is in progress
 }
 
 // heldMessage is a message between its acceptance and its end.
@@ -258,7 +258,7 @@
 	}
 }
 
-// Submit submits a message and waits for the answer. It comes after the step that handles the message, which is
+// Submit submits a message and waits for the answer. The answer comes after the step that handles the message, which is
 // within two ticks.
 func (x *Exchange) Submit(m *message.Message) Answer {
 	reply := make(chan Answer, 1)
--- a/internal/exchange/step.go
+++ b/internal/exchange/step.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// accept records and holds a submitted message and queues it for the module, unless it has to be turned down.
+// accept records and holds a submitted message and queues it for the module, unless it has to be rejected.
 func (x *Exchange) accept(m *message.Message, reply chan Answer) {
 	x.counts.Submitted++
 	class, known := x.classes[m.Class]
@@ -141,8 +141,8 @@
 }
 
 // withCurrentTimes sets a message's times as of this step, because the module counts from the step and time has
-// passed since the message came. Otherwise the module would take the message for alive when its call has already been
-// abandoned, and would let a repeat leave that much later than the window of its key allows.
+// passed since the message came. Otherwise the module would consider the message alive when its call has already been
+// abandoned, and would send a repeat that much later than the window of its key allows.
 func (x *Exchange) withCurrentTimes(a rules.Arrived, now time.Duration) rules.Arrived {
 	h := x.held[string(a.ID)]
 	a.TimeLeft = x.moduleTime(h.message.Deadline) - now
@@ -427,8 +427,8 @@
 // it and before the step that would have abandoned the call, the message also gets a notice. The platform counts the
 // time from when the client sent the message, and does not accept an answer that was late by that clock as the
 // message's end; a notice for a message that has ended does no harm. This guards against a message that the sender
-// and the platform each take for ended by the other. It costs a notice, and reports a doubtful end to a client whose
-// answer was just in time.
+// and the platform each consider ended by the other. It costs a notice, which reports to a client whose answer was
+// just in time that its message may or may not have run.
 func (x *Exchange) onDelivered(h *heldMessage) {
 	if time.Until(h.message.Deadline) > deadlineSlack {
 		x.finish(h)
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -77,7 +77,7 @@
 	return false
 }
 
-// Request is the head of a request, with what it says about the body and the connection.
+// Request is the head of a request, with what it specifies about the body and the connection.
 type Request struct {
 	Method, Target string
 	Header         Header
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -1,6 +1,6 @@
 // Package intake is the client side: it accepts connections, reads the messages that clients submit and writes the
 // exchange's answers. It owns those connections, with one goroutine each, and the format of requests (request.go). It
-// must never judge a message by more than its format, leave a request that it has read without a response, or let
+// must never reject a message for anything but its format, leave a request that it has read without a response, or let
 // clients that send nothing useful keep others out.
 package intake
 
@@ -78,8 +78,13 @@
 // New returns a server without connections. Call Serve to accept some.
 func New(cfg Config) *Server {
 	lingerers := cfg.MaxConns / lingerDivisor
-	s := &Server{cfg: cfg, classes: map[string]bool{}, servedTokens: make(chan struct{}, cfg.MaxConns-lingerers),
-		lingerTokens: make(chan struct{}, lingerers), conns: map[*client]bool{}}
+	s := &Server{
+		cfg:          cfg,
+		classes:      map[string]bool{},
+		servedTokens: make(chan struct{}, cfg.MaxConns-lingerers),
+		lingerTokens: make(chan struct{}, lingerers),
+		conns:        map[*client]bool{},
+	}
 	for _, c := range cfg.Classes {
 		s.classes[c] = true
 	}
@@ -89,7 +94,7 @@
 // Serve accepts connections until the listener is closed. Other errors of the listener, such as running out of file
 // descriptors, are retried after a pause that doubles up to a second.
 func (s *Server) Serve(ln net.Listener) {
-	s.wg.Add(1) // so that Close also waits for the connection accepted last
+	s.wg.Add(1) // so that Close also waits for the last connection accepted
 	defer s.wg.Done()
 	pause := minAcceptPause
 	for {
--- a/internal/outbound/call.go
+++ b/internal/outbound/call.go
@@ -23,8 +23,10 @@
 
 // appendCall appends the request that makes a call.
 func appendCall(buf []byte, call *exchange.Call) []byte {
-	fields := http1.Header{{Name: "Host", Value: call.To.Addr},
-		{Name: "Req-Deadline-Ms", Value: strconv.FormatInt(max(1, call.Timeout.Milliseconds()), 10)}}
+	fields := http1.Header{
+		{Name: "Host", Value: call.To.Addr},
+		{Name: "Req-Deadline-Ms", Value: strconv.FormatInt(max(1, call.Timeout.Milliseconds()), 10)},
+	}
 	if len(call.Items) == 1 {
 		m := call.Items[0]
 		fields = append(fields, http1.Field{Name: "Req-Id", Value: m.ID})
@@ -106,7 +108,7 @@
 		}
 	case 504: // no attempts left
 		r.Outcome = rules.NotSent
-	case 410: // the endpoint needs the message no more
+	case 410: // the message has already ended at the endpoint
 		r.Outcome, r.Finished = rules.NotSent, true
 	default:
 		r.Outcome = rules.Errored
--- a/internal/outbound/outbound.go
+++ b/internal/outbound/outbound.go
@@ -273,7 +273,7 @@
 }
 
 // close closes a connection at once, with or without a reset, and is the only function that does. Unread bytes, such
-// as a part of a response or a late one, are dropped on purpose: nothing is owed to an endpoint, and for a cancelled
+// as a part of a response or a late one, are dropped on purpose: an endpoint expects nothing more, and for a cancelled
 // call readResponse has checked once more by then. The call that the connection carries must have its result before.
 func (c *conn) close() { c.nc.Close() }
 
--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -73,7 +73,7 @@
 
 const (
 	connectTimeout   = time.Second
-	minBodyRate      = 512 << 10 // bytes per second; an answer that falls behind this rate is given up
+	minBodyRate      = 512 << 10 // bytes per second; an answer that falls behind this rate is abandoned
 	maxDiscardedBody = 64 << 10  // bytes of an answer whose content is not used
 	readBufferSize   = 4096      // bytes
 )
@@ -83,6 +83,9 @@
 // never pauses for that long.
 type limits struct{ firstByte, stall time.Duration }
 
+// pastDeadline, set as a deadline, makes all I/O on a connection fail at once.
+var pastDeadline = time.Unix(1, 0)
+
 // errStalled means that an answer began, but then fell behind minBodyRate or stopped.
 var errStalled = errors.New("the answer began, but its body stalled or came too slowly")
 
@@ -200,7 +203,7 @@
 	}
 	c.nc.SetDeadline(time.Time{})
 	nc := c.nc
-	stop := context.AfterFunc(ctx, func() { nc.SetDeadline(time.Unix(1, 0)) }) // a time in the past: fails all I/O
+	stop := context.AfterFunc(ctx, func() { nc.SetDeadline(pastDeadline) })
 	defer stop()
 	resp, err := c.roundTrip(timer, read)
 	if err != nil || resp.Close || c.br.Buffered() > 0 || !stop() {
--- a/internal/registry/list.go
+++ b/internal/registry/list.go
@@ -1,5 +1,5 @@
 // This file reads a list in discovery's JSON form, entry by entry as it arrives. It must never hold the text of a whole
-// list, nor allocate memory on the mere word of a Content-Length.
+// list, nor allocate memory for a Content-Length alone.
 
 package registry
 
--- a/internal/registry/notices.go
+++ b/internal/registry/notices.go
@@ -29,7 +29,7 @@
 }
 
 // Time limits of a request. Discovery answers at once, and the platform counts a message without a final answer as lost
-// 300 ms after its deadline. A connection that no longer responds must therefore be given up well within that time. A
+// 300 ms after its deadline. A connection that no longer responds must therefore be abandoned well within that time. A
 // discovery that is only slow gets more time after each time-out.
 const (
 	initialPostTimeout = 150 * time.Millisecond
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -84,7 +84,7 @@
 	retryNow         chan struct{}
 	firstList        chan struct{} // closed when the first list has come
 	loggedTooLarge   string        // the latest logged error about a list that is too large
-	Lists            atomic.Int64  // answers taken over, those without changes included
+	Lists            atomic.Int64  // answers applied, those without changes included
 	Failed           atomic.Int64  // failed requests
 
 	// ListStore, if set, is given every list and change. Set it before Run.
@@ -262,7 +262,8 @@
 	r.resuming = false
 	if incremental && !listing.Whole && !r.continuesList(since, seq, listing.Hosts) {
 		r.syncedAt = nil
-		r.pause(ctx, emptyAnswerPause) // else a discovery whose versions alternate would be asked in a tight loop
+		// Otherwise a discovery whose versions alternate would be asked in a tight loop.
+		r.pause(ctx, emptyAnswerPause)
 		return nil
 	}
 	if incremental && !listing.Whole {
@@ -278,7 +279,8 @@
 		close(r.firstList)
 	}
 	if watching && !changed && time.Since(begun) < watchWait/2 {
-		r.pause(ctx, emptyAnswerPause) // else a discovery that does not hold long polls would be asked in a tight loop
+		// Otherwise a discovery that does not hold long polls would be asked in a tight loop.
+		r.pause(ctx, emptyAnswerPause)
 	}
 	return nil
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -150,7 +150,8 @@
 	return nil
 }
 
-// decodeItem decodes one line of a batch. hasInstance is false for an endpoint list, which belongs to no single instance.
+// decodeItem decodes one line of a batch. hasInstance is false for an endpoint list, which belongs to no single
+// instance.
 func (d *Decoder) decodeItem(verb string, text []byte) (item Item, hasInstance bool, err error) {
 	if verb == "catalog" {
 		return Item{}, false, d.decodeCatalog(text)
@@ -414,7 +415,8 @@
 	return text
 }
 
-// decodeHint decodes a hint. ok is false for any other text, which is not an error: other senders may run another build.
+// decodeHint decodes a hint. ok is false for any other text, which is not an error: other senders may run another
+// build.
 func decodeHint(text string) (hint rules.Hint, ok bool) {
 	parts := strings.Split(text, " ")
 	if len(parts) != 2 && len(parts) != 3 {
--- a/internal/snapshot/form.go
+++ b/internal/snapshot/form.go
@@ -30,6 +30,7 @@
 const (
 	formatVersion    = 1
 	recordHeadBytes  = 8        // length and checksum of a record
+	checksumOffset   = 4        // of the checksum in that head
 	partBytes        = 32 << 10 // approximate size of a part
 	maxLastChange    = 64       // entries of a last change; a larger one is not written
 	typicalHostBytes = 40       // of an endpoint in the file
@@ -44,7 +45,7 @@
 	buf = fill(append(buf, make([]byte, recordHeadBytes)...))
 	payload := buf[start+recordHeadBytes:]
 	binary.BigEndian.PutUint32(buf[start:], uint32(len(payload)))
-	binary.BigEndian.PutUint32(buf[start+4:], crc32.Checksum(payload, castagnoli))
+	binary.BigEndian.PutUint32(buf[start+checksumOffset:], crc32.Checksum(payload, castagnoli))
 	return buf
 }
 
@@ -242,7 +243,7 @@
 	if _, err := io.ReadFull(r.br, r.buf); err != nil {
 		return 0, nil
 	}
-	if crc32.Checksum(r.buf, castagnoli) != binary.BigEndian.Uint32(head[4:]) {
+	if crc32.Checksum(r.buf, castagnoli) != binary.BigEndian.Uint32(head[checksumOffset:]) {
 		return 0, nil
 	}
 	return r.buf[0], &payloadReader{rest: string(r.buf[1:])}
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -335,8 +335,8 @@
 	return fmt.Errorf("%w: %v", errFileReplaced, err)
 }
 
-// compact rewrites the file as one whole list. It reads the list from the file, as nothing here holds it in memory; so
-// the list takes its memory a second time for a moment, once per as many changes as the list is long.
+// compact rewrites the file as one whole list. It reads the list from the file, as this package does not hold it in
+// memory. So for a moment the list takes its memory a second time, once for as many bytes of changes as the list has.
 func (st *Store) compact() error {
 	s, err := st.load()
 	if err != nil {
