--- a/cmd/eiderhaven/config.go
+++ b/cmd/eiderhaven/config.go
@@ -82,8 +82,9 @@
 		sockets:   f.Limits.Sockets,
 		disk:      int64(f.Limits.DiskMB * megabyte),
 	}
-	for name, field := range map[string]*string{"LB_NAME": &c.name, "LB_LISTEN": &c.listen, "LB_DISCOVERY": &c.discovery} {
-		if v := getenv(name); v != "" {
+	overrides := map[string]*string{"LB_NAME": &c.name, "LB_LISTEN": &c.listen, "LB_DISCOVERY": &c.discovery}
+	for variable, field := range overrides {
+		if v := getenv(variable); v != "" {
 			*field = v
 		}
 	}
@@ -121,7 +122,7 @@
 }
 
 // disableUnsupported switches off settings that the platform has no means for, and returns what they are. No rule
-// depends on them: notes to other senders are hints, and messages without a key may be sent in any order.
+// depends on them: hints between senders are optional, and messages without an order key may be sent in any order.
 func disableUnsupported(set *rules.Settings) (unsupported []string) {
 	if set.MayShareHints {
 		set.MayShareHints = false
--- a/cmd/eiderhaven/service.go
+++ b/cmd/eiderhaven/service.go
@@ -33,7 +33,7 @@
 	starting   phase = iota // builds the parts and reads the ledger; not logged, as it may end in a one-line error
 	recovering              // gives the decision module what an earlier process left unfinished
 	ready                   // serves clients
-	draining                // was told to stop: still serves clients and delivers the held messages
+	draining                // signalled to stop: still serves clients and delivers the held messages
 	stopped                 // nothing runs; unfinished messages stay in the ledger
 )
 
@@ -41,7 +41,7 @@
 	return [...]string{"starting", "recovering", "ready", "draining", "stopped"}[p]
 }
 
-// Time limits of the phases. The platform kills a sender 3.7 s after it was told to stop.
+// Time limits of the phases. The platform kills a sender 3.7 s after it was signalled to stop.
 const (
 	firstListWait = 400 * time.Millisecond  // after this the initial list has to do
 	drainTime     = 3 * time.Second         // how long clients are served after the signal
@@ -165,7 +165,7 @@
 }
 
 // reservedDescriptors is how many file descriptors a sender opens apart from connections to clients and endpoints:
-// 3 standard streams, 2 of the runtime's poller, the listener, an accepted connection that has no place yet, 2 ledger
+// 3 standard streams, 2 of the runtime's poller, the listener, an accepted connection that waits to be served, 2 ledger
 // segments while one replaces the other, the connections for the list and for notices, one of these anew while the old
 // one closes, and the file of the endpoint list while it is written.
 const reservedDescriptors = 13
@@ -260,7 +260,7 @@
 	s.log.Info("configuration reloaded", "discovery", next.discovery, "moved", s.discovery.Move(next.discovery))
 }
 
-// awaitStopSignal returns when the service is told to stop.
+// awaitStopSignal logs the counters on each SIGUSR1 and returns on any other signal: the service is to stop.
 func (s *service) awaitStopSignal(signals <-chan os.Signal) {
 	for sig := range signals {
 		if sig != syscall.SIGUSR1 {
--- a/cmd/knownred/main.go
+++ b/cmd/knownred/main.go
@@ -40,7 +40,8 @@
 	switch {
 	case len(args) == 1 && args[0] == "skip":
 		for _, e := range entries {
-			fmt.Fprintf(os.Stderr, "known red, passed over: %s: %s (issue %d; %s)\n", e.Test, e.Symptom, e.Issue, e.Command)
+			fmt.Fprintf(os.Stderr, "known red, passed over: %s: %s (issue %d; %s)\n",
+				e.Test, e.Symptom, e.Issue, e.Command)
 		}
 		fmt.Println(knownred.SkipPattern(entries))
 		return nil
