--- a/lab/clock/clock.go
+++ b/lab/clock/clock.go
@@ -22,7 +22,7 @@
 	Receive               // a call arrives or is served
 	Answer                // an outcome arrives at a sender
 	Submit                // a client submits a message
-	Timer                 // time-outs and wake-ups
+	Timer                 // timeouts and wake-ups
 	Step                  // senders decide
 	Check                 // the judge and the collector sample the run
 )
--- a/lab/judge/judge.go
+++ b/lab/judge/judge.go
@@ -58,7 +58,7 @@
 	// Number of violations that are kept in full; the rest are only counted.
 	maxKeptViolations = 50
 
-	// Length of the intervals in which messages that are past their deadline are looked for.
+	// Messages are grouped by deadline into intervals of this length. Sweep handles whole intervals.
 	sweepInterval = 100 * time.Millisecond
 
 	// Number of senders listed in the trail of a RecoveryOverload, those with the most calls first.
@@ -90,7 +90,7 @@
 	sweptIntervals int64                     // number of intervals that Sweep has handled
 }
 
-// deadlineEntry is a message whose final answer must be there when its sweep interval comes.
+// deadlineEntry is a message that must have its final answer when its sweep interval is handled.
 type deadlineEntry struct {
 	sender  int
 	message *trackedMessage
@@ -116,7 +116,7 @@
 type outage struct {
 	beganAt, endedAt time.Duration
 	ongoing          bool
-	informed         map[int]bool // senders that saw a call there fail or be refused during the outage
+	informed         map[int]bool // senders that sent an attempt before its end and saw it fail or be refused
 	margin           float64      // of the worst window since the end, see package margin
 }
 
@@ -251,9 +251,10 @@
 	}
 	j.checkRepeat(now, sender, msg, ep, zone)
 	j.checkDrain(now, sender, state, msg, ep)
-	if w, received := state.retryAfter[unit]; received && now > w.receivedAt && now < w.until {
+	if span, received := state.retryAfter[unit]; received && now > span.receivedAt && now < span.until {
 		j.addViolation(RetryAfterIgnored, now, sender, msg, nil,
-			"sent to endpoint %d, which asked at %.3fs for a wait until %.3fs", ep, w.receivedAt.Seconds(), w.until.Seconds())
+			"sent to endpoint %d, which asked at %.3fs for a wait until %.3fs",
+			ep, span.receivedAt.Seconds(), span.until.Seconds())
 	}
 	j.checkOrder(now, sender, state, msg)
 	msg.attempts = append(msg.attempts, attempt{at: now, endpoint: ep, unit: unit, zone: zone})
@@ -433,7 +434,7 @@
 		"refused, though an attempt of %.3fs may have run", first.at.Seconds())
 }
 
-// forgetSettled forgets a finished message, unless an attempt of it is in flight.
+// forgetSettled removes a finished message, unless an attempt of it is in flight.
 func (j *Judge) forgetSettled(now time.Duration, state *senderState, msg *trackedMessage) {
 	if msg.inFlight() {
 		return
@@ -499,14 +500,14 @@
 	state.orderQueues = map[string][]*trackedMessage{}
 	state.down = true
 	// The next process restores the messages in the order in which this one accepted them.
-	var unfinished []*trackedMessage
+	var ordered []*trackedMessage
 	for _, msg := range state.messages {
 		if msg.class.KeepOrder && msg.message.Key != "" {
-			unfinished = append(unfinished, msg)
+			ordered = append(ordered, msg)
 		}
 	}
-	slices.SortFunc(unfinished, func(a, b *trackedMessage) int { return cmp.Compare(a.seq, b.seq) })
-	for _, msg := range unfinished {
+	slices.SortFunc(ordered, func(a, b *trackedMessage) int { return cmp.Compare(a.seq, b.seq) })
+	for _, msg := range ordered {
 		state.orderQueues[msg.message.Key] = append(state.orderQueues[msg.message.Key], msg)
 	}
 }
@@ -520,9 +521,9 @@
 
 // Sweep looks for messages that are past their deadline without a final answer.
 func (j *Judge) Sweep(now time.Duration) {
-	for limit := int64(now / sweepInterval); j.sweptIntervals < limit; j.sweptIntervals++ {
-		for _, item := range j.deadlines[j.sweptIntervals] {
-			state, msg := j.senders[item.sender], item.message
+	for currentInterval := int64(now / sweepInterval); j.sweptIntervals < currentInterval; j.sweptIntervals++ {
+		for _, entry := range j.deadlines[j.sweptIntervals] {
+			state, msg := j.senders[entry.sender], entry.message
 			id, deadline := msg.message.ID, msg.message.Deadline
 			if msg.finished {
 				delete(state.endedAt, id)
@@ -530,10 +531,10 @@
 			}
 			if state.down || state.graceUntil >= now && state.graceUntil > deadline {
 				interval := max(int64(state.graceUntil/sweepInterval), int64(now/sweepInterval)) + 1
-				j.deadlines[interval] = append(j.deadlines[interval], item)
+				j.deadlines[interval] = append(j.deadlines[interval], entry)
 				continue
 			}
-			j.addViolation(LostMessage, now, item.sender, msg, nil,
+			j.addViolation(LostMessage, now, entry.sender, msg, nil,
 				"its time was up at %.3fs and it has no end", deadline.Seconds())
 			msg.finished = true
 			delete(state.messages, id)
@@ -545,9 +546,9 @@
 // Unfinished returns the number of messages without a final answer.
 func (j *Judge) Unfinished() int {
 	n := 0
-	for _, items := range j.deadlines {
-		for _, item := range items {
-			if !item.message.finished {
+	for _, entries := range j.deadlines {
+		for _, entry := range entries {
+			if !entry.message.finished {
 				n++
 			}
 		}
--- a/lab/sender/calls.go
+++ b/lab/sender/calls.go
@@ -212,7 +212,8 @@
 	})
 }
 
-// connect completes the handshake of a call that started at a time, and delivers the call if the endpoint accepts.
+// connect ends the handshake that a call started at the given time, and delivers the call if the endpoint accepts the
+// connection. An endpoint that does not answer fails the call at the connect timeout.
 func (h *Host) connect(c *call, started time.Duration) {
 	epoch := h.epoch
 	conn, limitReached, noAnswer := c.pool.endpoint.Connect(&c.pool.Pool, h.env.Queue.Now())
--- a/lab/sender/sender.go
+++ b/lab/sender/sender.go
@@ -77,7 +77,7 @@
 	timers         *clock.Scheduler // timeouts and wake-ups
 	actions        []rules.Action
 
-	transitions []rules.Transition // of the last step
+	transitions []rules.Transition // endpoint state changes of the last step
 
 	poolsCreated int
 	retained     []*heldMessage              // messages kept while the process is down
@@ -225,7 +225,8 @@
 // observer is a policy that reports the states of its endpoints.
 type observer interface{ Observe() rules.Observations }
 
-// recordOutages keeps the outages that the policy sees across restarts, as the daemon's ledger does.
+// recordOutages records which endpoints the policy considers out. Like the daemon's ledger, the record outlasts a
+// restart.
 func (h *Host) recordOutages(now time.Duration) {
 	o, ok := h.policy.(observer)
 	if !ok {
@@ -419,7 +420,7 @@
 	m.inFlight = nil
 }
 
-// noteMayHaveRun records that the attempt sent at a time may have run, if it is the earliest.
+// noteMayHaveRun records an attempt that may have run. Only the one that was sent first is kept.
 func (m *heldMessage) noteMayHaveRun(sent time.Duration, ep rules.EndpointID) {
 	if !m.mayHaveRun || sent < m.mayHaveRunAt {
 		m.mayHaveRun, m.mayHaveRunAt, m.mayHaveRunEndpoint = true, sent, ep
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -130,7 +130,7 @@
 
 // Bounds of what a result holds.
 const (
-	trackedDestinations = 16  // destinations with a series of their own
+	trackedDestinations = 16  // busiest destinations offered to the collector, which has room for fewer series
 	maxLogLines         = 500 // lines in the log of a result
 )
 
@@ -345,7 +345,7 @@
 	scheduler.After(interval, check)
 }
 
-// startSender starts a process of a sender that is down, with a seed of its own.
+// startSender starts a new process of a sender, with a seed of its own, unless the sender is up.
 func (w *World) startSender(n int) {
 	if w.senders[n].Up {
 		return
@@ -356,7 +356,8 @@
 	w.senders[n].Start(seed)
 }
 
-// stopSender kills a sender; clients submit again what it held, unless its state is kept.
+// stopSender kills a sender. Unless its state is kept, clients submit the messages that it held again where that is
+// harmless.
 func (w *World) stopSender(n int, kept bool) {
 	for _, m := range w.senders[n].Stop(kept) {
 		w.clients.Rescue(m, n)
@@ -431,7 +432,7 @@
 	w.checkScheduler.After(sweepInterval, w.sweep)
 }
 
-// settleTime is added to the end of a run for answers and rounding to ticks.
+// settleTime is added to the length of a run, for answers in transit and for steps that are rounded up to a tick.
 const settleTime = time.Second
 
 // stopCheckInterval is the model time between two checks of Options.Stop.
