--- a/lab/baseline/adaptive.go
+++ b/lab/baseline/adaptive.go
@@ -91,7 +91,7 @@
 	if m.leadsCall && e.Outcome == rules.OK {
 		s.throttleOf(eng, ep.limitScope).accepted++
 	}
-	return true, time.Duration((0.5 + s.random.Float64()) * float64(adaptivePause))
+	return true, time.Duration((minWaitShare + s.random.Float64()) * float64(adaptivePause))
 }
 
 func (s *adaptive) timeout(m *message) time.Duration {
--- a/lab/baseline/backoff.go
+++ b/lab/baseline/backoff.go
@@ -102,7 +102,7 @@
 		m.strategyState = b
 	}
 	meanWait := m.strategyState.(*backoff.ExponentialBackOff).NextBackOff()
-	return true, time.Duration(float64(meanWait) * (0.5 + s.random.Float64()))
+	return true, time.Duration(float64(meanWait) * (minWaitShare + s.random.Float64()))
 }
 
 func (s *backoffWithBreaker) timeout(m *message) time.Duration {
--- a/lab/baseline/baseline.go
+++ b/lab/baseline/baseline.go
@@ -1,7 +1,7 @@
 // Package baseline holds the policies that the decision module (package rules) is compared with. They are for the lab
 // only and must never be linked into the daemon.
 //
-// All of them share one engine. It keeps the endpoint list and the messages, and observes the rules on final answers,
+// All of them share one engine. It keeps the endpoint list and the messages, and follows the rules on final answers,
 // draining endpoints, retry-after and repeats. The policies differ in when they send and whether they try again.
 package baseline
 
@@ -19,6 +19,9 @@
 
 	// While messages wait to be sent, a sender steps at least once in this many ticks.
 	idleTicks = 10
+
+	// A randomized wait is drawn between this share of its mean and one more than it.
+	minWaitShare = 0.5
 )
 
 // engine is the part of a policy that all baselines share.
@@ -224,7 +227,8 @@
 			m.mayHaveRun, m.mayHaveRunSince = true, eng.now-e.Elapsed
 		}
 	}
-	if m.orderQueue != nil && (e.Outcome == rules.TimedOut || e.Outcome == rules.Reset || e.Outcome == rules.Cancelled) {
+	if m.orderQueue != nil &&
+		(e.Outcome == rules.TimedOut || e.Outcome == rules.Reset || e.Outcome == rules.Cancelled) {
 		m.orderQueue.pausedUntil = eng.now + eng.settings.OrderPause
 	}
 	again, after := eng.strategy.onAttemptEnded(eng, m, ep, e)
@@ -364,7 +368,8 @@
 	return list
 }
 
-// send adds the action that sends a message. The message starts a new call if the latest one to the endpoint is full.
+// send adds the action that sends a message. The message starts a new call unless this step's latest
+// one to the endpoint has room.
 func (eng *engine) send(m *message, ep *endpoint) {
 	m.attempts++
 	m.inFlight++
--- a/lab/baseline/oracle.go
+++ b/lab/baseline/oracle.go
@@ -16,7 +16,7 @@
 // OracleView is what the oracle sees. All senders of a run share one value, so their steps must not run concurrently.
 type OracleView struct {
 	Endpoints   map[rules.EndpointID]*receiver.Endpoint
-	TransitTime time.Duration                      // longest time that a call is in transit
+	TransitTime time.Duration                      // how long a call counts as in transit after it is sent
 	inTransit   map[*receiver.Unit][]time.Duration // send times of calls that may not have arrived
 	inFlight    map[*receiver.Endpoint]int         // calls
 }
@@ -48,7 +48,7 @@
 
 	// An endpoint that is slower than usual by more than this factor gets calls only while at most half the slots are
 	// busy.
-	tooSlow = 2
+	maxSlowdown = 2
 
 	// Timeout of an attempt. It ends attempts on connections that broke unnoticed; the oracle sees unresponsive endpoints
 	// itself.
@@ -63,7 +63,7 @@
 	if x == nil || !x.HasCapacity() || float64(o.inFlight[x]) >= inFlightFactor*float64(x.Unit.Spec.Servers)+1 {
 		return false
 	}
-	if x.Slowdown > tooSlow && 2*eng.busySlots > eng.settings.Slots {
+	if x.Slowdown > maxSlowdown && 2*eng.busySlots > eng.settings.Slots {
 		return false // a call would occupy a slot for the time of several calls elsewhere
 	}
 	sent := o.inTransit[x.Unit]
--- a/lab/receiver/limit.go
+++ b/lab/receiver/limit.go
@@ -81,6 +81,9 @@
 	return newRateLimit(l.base, float64(l.bucket.Burst()), l.countsRefused)
 }
 
+// noWindow is the value of windowLimit.index before the first call.
+const noWindow = -1
+
 // windowLimit admits a count of calls in each window; windows follow one another without a gap.
 type windowLimit struct {
 	base          float64 // calls per window
@@ -117,7 +120,7 @@
 }
 
 func (l *windowLimit) unusedCopy() limit {
-	return &windowLimit{base: l.base, factor: 1, span: l.span, countsRefused: l.countsRefused, index: -1}
+	return &windowLimit{base: l.base, factor: 1, span: l.span, countsRefused: l.countsRefused, index: noWindow}
 }
 
 // concurrentLimit admits a number of concurrent calls.
--- a/lab/receiver/receiver.go
+++ b/lab/receiver/receiver.go
@@ -96,7 +96,9 @@
 }
 
 // NewEndpoint returns an endpoint and adds it to its unit.
-func NewEndpoint(id rules.EndpointID, number, zone int, u *Unit, maxConns int, q *clock.Queue, rng *rand.Rand) *Endpoint {
+func NewEndpoint(
+	id rules.EndpointID, number, zone int, u *Unit, maxConns int, q *clock.Queue, rng *rand.Rand,
+) *Endpoint {
 	ep := &Endpoint{
 		ID:        id,
 		Number:    number,
@@ -199,7 +201,8 @@
 	ep.running[j] = true
 	u := ep.Unit
 	work := u.Spec.WorkByClass[j.call.Messages[0].Class]
-	seconds := u.Spec.ServiceTime.Draw(ep.rng).Seconds() * u.Spec.ServiceTimeFactor * work * ep.Slowdown / ep.capacityShare()
+	seconds := u.Spec.ServiceTime.Draw(ep.rng).Seconds() * u.Spec.ServiceTimeFactor *
+		work * ep.Slowdown / ep.capacityShare()
 	seconds *= 1 + u.Spec.BatchCost*float64(len(j.call.Messages)-1)
 	ep.scheduler.After(time.Duration(seconds*float64(time.Second)), func() { ep.finishService(j) })
 }
@@ -329,14 +332,20 @@
 		!ep.Unit.Collapsed
 }
 
-// maxFreeErrorShare is the error share from which HasCapacity reports no capacity.
-const maxFreeErrorShare = 0.5
+const (
+	// maxFreeErrorShare is the error share from which HasCapacity reports no capacity.
+	maxFreeErrorShare = 0.5
+
+	// serversPerWaiting is the number of servers for each waiting call that HasCapacity puts up with.
+	serversPerWaiting = 3
+)
 
 // HasCapacity reports whether a call that arrives now would be served without a long wait, the limit aside: the queue
 // has to be empty, or hold fewer calls than a third of the servers and have room for another.
 func (ep *Endpoint) HasCapacity() bool {
 	return ep.Healthy() && !ep.Removed && !ep.Draining && ep.ErrorShare < maxFreeErrorShare &&
-		(len(ep.waiting) == 0 || 3*len(ep.waiting) < ep.Unit.Spec.Servers && len(ep.waiting)+1 < ep.Unit.Spec.MaxQueued)
+		(len(ep.waiting) == 0 ||
+			serversPerWaiting*len(ep.waiting) < ep.Unit.Spec.Servers && len(ep.waiting)+1 < ep.Unit.Spec.MaxQueued)
 }
 
 // Crash kills the process: its connections and calls are reset, and connects are refused until Restart.
--- a/lab/receiver/unit.go
+++ b/lab/receiver/unit.go
@@ -50,7 +50,7 @@
 
 // SetWindowLimit limits the unit to a count of calls per window.
 func (u *Unit) SetWindowLimit(count float64, span time.Duration, countsRefused bool) {
-	u.limit = &windowLimit{base: count, factor: 1, span: span, countsRefused: countsRefused, index: -1}
+	u.limit = &windowLimit{base: count, factor: 1, span: span, countsRefused: countsRefused, index: noWindow}
 }
 
 // SetConcurrencyLimit limits the unit to a number of concurrent calls.
@@ -58,11 +58,11 @@
 
 // Replacement returns a unit for a route that replaces this one: it has the same limit and none of its state.
 func (u *Unit) Replacement(number int) *Unit {
-	s := NewUnit(number, u.Dest, u.Kind, u.Spec, u.rng, u.observer)
+	replacement := NewUnit(number, u.Dest, u.Kind, u.Spec, u.rng, u.observer)
 	if u.limit != nil {
-		s.limit = u.limit.unusedCopy()
+		replacement.limit = u.limit.unusedCopy()
 	}
-	return s
+	return replacement
 }
 
 // Capacity returns the calls per second that the unit can serve when warm, given its limit and its servers.
@@ -76,7 +76,7 @@
 	return rate
 }
 
-// minMeanServiceTime avoids a division by zero, in seconds.
+// minMeanServiceTime, in seconds, avoids a division by zero.
 const minMeanServiceTime = 1e-9
 
 // serverRate returns the calls per second that all servers of the unit complete.
--- a/lab/tally/tally.go
+++ b/lab/tally/tally.go
@@ -51,7 +51,7 @@
 	Policy   string `json:"policy"`
 	Seed     uint64 `json:"seed"`
 
-	G          float64 `json:"g"`           // overall score, weighted by the scenario's goal
+	G          float64 `json:"g"`           // overall score: see Finish
 	Whole      float64 `json:"whole"`       // worth earned over worth submitted
 	Worst      float64 `json:"worst"`       // the same for the worst ten seconds
 	WorstClass float64 `json:"worst_class"` // the same for the worst-served class
@@ -75,7 +75,7 @@
 	TimedOut          int `json:"timed_out"`
 	Cancelled         int `json:"cancelled"`
 	NotSent           int `json:"not_sent"`
-	EffectsRun        int `json:"ran"`          // effects of messages, repeats included
+	EffectsRun        int `json:"ran"`          // effects of messages; repeats that were dropped do not count
 	DuplicateEffects  int `json:"doubled_once"` // further effects of messages whose class allows one
 	RepeatsDropped    int `json:"repeats_dropped"`
 	Outages           int `json:"outages"`
@@ -114,7 +114,7 @@
 	scenario        *scenario.Scenario
 	windowLength    time.Duration
 	servedTries     []bool     // whether it was served, by first try
-	ranOnce         []bool     // whether it took effect, by first try
+	ranOnce         []bool     // whether it took effect, by first try; set for at-most-once classes only
 	spans           []worthSum // by the time of the first try, in steps of worstSpanLength
 	classes         []worthSum // by class
 	latencies       *hdrhistogram.Histogram
@@ -134,7 +134,7 @@
 	// A span with less than this share of the mean worth submitted is ignored for Result.Worst: it is a fragment.
 	minSpanShare = 0.1
 
-	// Number of destinations with a time series.
+	// Largest number of destinations with a time series.
 	maxTracked = 6
 
 	// Upper end of the latency histograms, in microseconds.
@@ -222,9 +222,9 @@
 	for i := int(now / c.windowLength); len(c.Series) <= i; {
 		c.closeWindow()
 		c.Series = append(c.Series, Window{At: float64(len(c.Series)) * c.windowLength.Seconds()})
-		for l := range c.BusiestDestinations {
-			c.BusiestDestinations[l].Calls = append(c.BusiestDestinations[l].Calls, 0)
-			c.BusiestDestinations[l].Refusals = append(c.BusiestDestinations[l].Refusals, 0)
+		for d := range c.BusiestDestinations {
+			c.BusiestDestinations[d].Calls = append(c.BusiestDestinations[d].Calls, 0)
+			c.BusiestDestinations[d].Refusals = append(c.BusiestDestinations[d].Refusals, 0)
 		}
 	}
 	return &c.Series[len(c.Series)-1]
@@ -389,7 +389,8 @@
 	return c.Worth * max(c.LateWorth, math.Exp2(-aimsLate))
 }
 
-// Finish computes the derived statistics and returns the result.
+// Finish computes the derived statistics and returns the result. The overall score is the mean of Whole, Worst and
+// WorstClass by the weights of the scenario's goal, less the goal's penalty for calls that limits refused.
 func (c *Collector) Finish() *Result {
 	c.closeWindow()
 	r := &c.Result
