--- a/lab/scale/event.go
+++ b/lab/scale/event.go
@@ -68,9 +68,10 @@
 	if ok && env.waitAdopted(maxChangeDelay+adoptionSlack) {
 		row.Figures["normal"] = max(0, env.tracker.lastAdoption(d.endedAt).Sub(d.endedAt).Seconds())
 	}
-	// Unfinished messages get until their deadline to end. After that, a duplicate of a message may still arrive.
-	end := time.Now().Add(e.Deadline.D() + outageGrace)
-	for ok && env.tracker.unfinished() > 0 && time.Now().Before(end) {
+	// Unfinished messages get until outageGrace after their deadline to end. After that, a duplicate of a message may
+	// still arrive.
+	latestEnd := time.Now().Add(e.Deadline.D() + outageGrace)
+	for ok && env.tracker.unfinished() > 0 && time.Now().Before(latestEnd) {
 		ok = env.sleep(endPollInterval)
 	}
 	if ok = ok && env.sleep(deadlineGrace); !ok && row.Failure == "" {
--- a/lab/scale/simulated.go
+++ b/lab/scale/simulated.go
@@ -102,6 +102,9 @@
 	// seedFactor keeps the seeds of senders of plans with different seeds apart.
 	seedFactor = 1_000_003
 
+	// simulatedStream is the second seed of a sender's random stream, beside that of its settings.
+	simulatedStream = 7
+
 	// noWakeUp is the value of simulatedSender.wakeAt while the module has not asked to be woken.
 	noWakeUp = -1
 )
@@ -129,7 +132,7 @@
 		isAccepting:       isAccepting,
 		onChange:          onChange,
 		settings:          &own,
-		rng:               rand.New(rand.NewPCG(own.Seed, 7)),
+		rng:               rand.New(rand.NewPCG(own.Seed, simulatedStream)),
 		messageRate:       messageRate,
 		lifetime:          lifetime,
 		startedAt:         time.Now(),
--- a/lab/scale/stage.go
+++ b/lab/scale/stage.go
@@ -131,6 +131,12 @@
 // initialHost returns the name of a destination's first endpoint.
 func initialHost(dest int) string { return fmt.Sprintf("s-%08x", dest) }
 
+// Second seeds of random streams, beside the plan's seed.
+const (
+	changeOrderStream = 3    // of the order in which destinations change
+	trafficStream     = 1000 // of the traffic of the first real sender; the others count up from it
+)
+
 // initialEntries returns the first list. Destinations that are down are spread evenly over it. The others are shuffled
 // into the order in which they change.
 func (env *environment) initialEntries() []platform.Entry {
@@ -149,7 +155,7 @@
 		}
 		list[i] = env.destinations.entry(i, 0, initialHost(i), down)
 	}
-	rng := rand.New(rand.NewPCG(env.plan.Seed, 3))
+	rng := rand.New(rand.NewPCG(env.plan.Seed, changeOrderStream))
 	order := env.changeOrder
 	rng.Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
 	return list
@@ -311,7 +317,7 @@
 	if rate <= 0 {
 		return
 	}
-	rng := rand.New(rand.NewPCG(env.plan.Seed, uint64(1000+s.index)))
+	rng := rand.New(rand.NewPCG(env.plan.Seed, uint64(trafficStream+s.index)))
 	tick := time.NewTicker(time.Duration(float64(time.Second) / rate))
 	defer tick.Stop()
 	inFlight := make(chan struct{}, maxClientConns/2)
