--- a/cmd/eiderlab/look.go
+++ b/cmd/eiderlab/look.go
@@ -177,8 +177,8 @@
 					fmt.Fprintln(os.Stderr, err)
 					continue
 				}
-				fmt.Printf("%s: good: %s, %d senders, %d destinations, %g messages a second, %d troubles\n", f, s.Name, s.Senders.Count,
-					s.DestinationCount(), s.Traffic.Rate, len(s.Troubles))
+				fmt.Printf("%s: good: %s, %d senders, %d destinations, %g messages a second, %d troubles\n",
+					f, s.Name, s.Senders.Count, s.DestinationCount(), s.Traffic.Rate, len(s.Troubles))
 			}
 			if refused > 0 {
 				return fmt.Errorf("%d of %d files are refused", refused, len(args))
@@ -211,7 +211,8 @@
 // scenarioDoc returns the text of docs/lab-scenario.md. A test fails if the file differs.
 func scenarioDoc() string {
 	var b strings.Builder
-	b.WriteString("# Scenario files of the lab\n\nPrinted by `eiderlab scenario keys` from the declarations in `lab/scenario`. TOML, strictly read: an unknown key, a\n" +
+	b.WriteString("# Scenario files of the lab\n\n" +
+		"Printed by `eiderlab scenario keys` from the declarations in `lab/scenario`. TOML, strictly read: an unknown key, a\n" +
 		"number without its unit or an impossible value is refused with file, line and what was expected. Durations are\n" +
 		"texts with a unit (\"250ms\", \"2.5s\", \"1m30s\"). `[]` marks a list of tables.\n\n")
 	write := func(keys []scenario.Key) {
@@ -222,7 +223,8 @@
 		b.WriteString(t.Markdown())
 	}
 	write(scenario.Keys())
-	b.WriteString("\n## Distributions\n\nKeys of a distribution, as in `service = { dist = \"lognormal\", mean = \"150ms\", cv = 0.5 }`:\n\n")
+	b.WriteString("\n## Distributions\n\n" +
+		"Keys of a distribution, as in `service = { dist = \"lognormal\", mean = \"150ms\", cv = 0.5 }`:\n\n")
 	write(scenario.DistributionKeys())
 	b.WriteString("\n## Troubles\n\n")
 	t := chart.Table{Head: []string{"kind", "what it does"}}
--- a/cmd/eiderlab/play.go
+++ b/cmd/eiderlab/play.go
@@ -406,7 +406,9 @@
 				printed++
 				fmt.Println(line)
 			}
-			r, err := world.Run(s, world.Options{Seed: seed, Policy: policy, Trace: trace, Workers: 1, Stop: c.Context().Done()})
+			r, err := world.Run(s, world.Options{
+				Seed: seed, Policy: policy, Trace: trace, Workers: 1, Stop: c.Context().Done(),
+			})
 			if err != nil {
 				return err
 			}
--- a/cmd/eiderlab/rig.go
+++ b/cmd/eiderlab/rig.go
@@ -18,7 +18,7 @@
 	"eiderhaven/lab/scale"
 )
 
-// maxPrintedRigViolations is the number of broken rules printed for a run; runs.jsonl holds its whole result.
+// maxPrintedRigViolations is the largest number of violations printed for a run; runs.jsonl holds all of them.
 const maxPrintedRigViolations = 10
 
 // errRuleBroken is returned if a run broke a rule.
@@ -26,7 +26,7 @@
 
 func newRig() *cobra.Command {
 	var o rig.Options
-	var seeds, crowd int
+	var seeds, idleConns int
 	var out string
 	c := &cobra.Command{
 		Use:   "rig PLAN",
@@ -43,8 +43,8 @@
 			if err != nil {
 				return err
 			}
-			if crowd > 0 {
-				p.IdleConns = crowd
+			if idleConns > 0 {
+				p.IdleConns = idleConns
 			}
 			machine, err := scale.ThisMachine()
 			if err != nil {
@@ -85,11 +85,12 @@
 	c.Flags().StringVar(&out, "out", "", "folder for the records of what broke (default: results/rig)")
 	c.Flags().Uint64Var(&o.Seed, "seed", 1, "first seed")
 	c.Flags().IntVar(&seeds, "seeds", 1, "so many seeds, one after another")
-	c.Flags().IntVar(&crowd, "crowd", 0, "connections held open to each sender and used for nothing (default: the plan's)")
+	c.Flags().IntVar(&idleConns, "crowd", 0,
+		"connections held open to each sender and used for nothing (default: the plan's)")
 	return c
 }
 
-// recordRun appends the result of a run to runs.jsonl and prints a summary with its first broken rules.
+// recordRun appends the result of a run to runs.jsonl and prints a summary with its first violations.
 func recordRun(r *rig.Result, dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
--- a/cmd/eiderlab/scale.go
+++ b/cmd/eiderlab/scale.go
@@ -47,7 +47,8 @@
 		},
 	}
 	c.Flags().StringVar(&out, "out", "", "folder for rows, charts and page (default: results/NAME of the plan)")
-	c.Flags().StringSliceVar(&o.Axes, "axis", nil, "play these axes alone, or \"events\"; rows of others that the folder holds stay")
+	c.Flags().StringSliceVar(&o.Axes, "axis", nil,
+		"play these axes alone, or \"events\"; rows of others that the folder holds stay")
 	c.Flags().BoolVar(&redraw, "redraw", false, "play nothing: make tables, charts and page of the folder's rows anew")
 	c.Flags().StringVar(&o.Program, "program", "bin/eiderhaven", "the daemon")
 	return c
--- a/cmd/eiderlab/sockets.go
+++ b/cmd/eiderlab/sockets.go
@@ -20,8 +20,8 @@
 	"eiderhaven/lab/scenario"
 )
 
-// maxLoadLatenessMs is the 99th percentile of the lateness of requests above which the load generator could not keep
-// its schedule, so that its own delay distorts the measured times.
+// maxLoadLatenessMs limits the 99th percentile of how late requests are begun. Above it the load generator could not
+// keep its schedule, and its own delay distorts the measured times.
 const maxLoadLatenessMs = 5
 
 func newReceivers() *cobra.Command {
@@ -50,7 +50,8 @@
 			if err != nil {
 				return err
 			}
-			fmt.Printf("discovery on %s, %d endpoints of %d destinations\n", receivers.DiscoveryAddr(), receivers.ListenerCount(), s.DestinationCount())
+			fmt.Printf("discovery on %s, %d endpoints of %d destinations\n",
+				receivers.DiscoveryAddr(), receivers.ListenerCount(), s.DestinationCount())
 			if skipped := live.SkippedTroubles(s); len(skipped) > 0 {
 				fmt.Println("not played here:", strings.Join(skipped, ", "))
 			}
@@ -152,7 +153,8 @@
 	c.Flags().Uint64Var(&o.Seed, "seed", 1, "seed of the day")
 	c.Flags().IntVar(&o.BodyBytes, "body", 200, "bytes of a message")
 	c.Flags().IntVar(&o.MaxConns, "conns", 256, "connections to one target at most")
-	c.Flags().DurationVar(&o.AnswerTimeout, "answer-within", 400*time.Millisecond, "how long a client waits for its answer")
+	c.Flags().DurationVar(&o.AnswerTimeout, "answer-within", 400*time.Millisecond,
+		"how long a client waits for its answer")
 	c.Flags().StringVar(&out, "out", "", "folder for figures and charts")
 	return c
 }
