--- a/lab/live/config.go
+++ b/lab/live/config.go
@@ -11,7 +11,8 @@
 	"eiderhaven/lab/scenario"
 )
 
-// effectNames and dedupScopeNames translate the values of scenario keys into those of the daemon's configuration.
+// These maps translate the values of scenario keys (a class's effect and scope, and senders.rates_listed) into those of
+// the daemon's configuration.
 var (
 	effectNames     = map[string]string{"safe": "idempotent", "keyed": "deduplicated", "once": "at_most_once"}
 	dedupScopeNames = map[string]string{"destination": "all", "zone": "zone", "endpoint": "cell"}
@@ -25,7 +26,7 @@
 	daemonSockets  = 4096
 	daemonDiskMB   = 64
 	overShareWorth = 0.2
-	askEveryMicros = 10_000_000 // 10 s
+	askEveryMicros = 10_000_000 // 10 s; a failed watch is repeated after a part of this
 )
 
 // Config returns a configuration file for one sender, with a seed taken from the current time.
@@ -35,7 +36,7 @@
 
 // SeededConfig returns a configuration file for one sender.
 func SeededConfig(s *scenario.Scenario, name, listen, discovery string, seed uint64) ([]byte, error) {
-	senders, limits := s.Senders, s.Rules
+	senders, deliveryRules := s.Senders, s.Rules
 	micros := func(d scenario.Duration) int64 { return d.D().Microseconds() }
 	var classes []map[string]any
 	for _, c := range s.Classes {
@@ -80,10 +81,10 @@
 			"flavors": kinds, "over_share_worth": overShareWorth, "parties": parties,
 			"registry_mode": s.Registry.Mode, "request_classes": classes,
 			"safety": map[string]any{
-				"ask_every_us": askEveryMicros, "cold_share": limits.ColdShare,
-				"drain_grace_us": micros(limits.DrainGrace), "fall_us": micros(limits.FallWindow),
-				"grace_to_answer_us": micros(limits.AnswerGrace), "order_pause_us": micros(limits.OrderPause),
-				"overload_factor": limits.OverloadFactor, "warm_up_us": micros(limits.WarmUp),
+				"ask_every_us": askEveryMicros, "cold_share": deliveryRules.ColdShare,
+				"drain_grace_us": micros(deliveryRules.DrainGrace), "fall_us": micros(deliveryRules.FallWindow),
+				"grace_to_answer_us": micros(deliveryRules.AnswerGrace), "order_pause_us": micros(deliveryRules.OrderPause),
+				"overload_factor": deliveryRules.OverloadFactor, "warm_up_us": micros(deliveryRules.WarmUp),
 			},
 			"tick_us": micros(senders.Tick), "weights": weightNames[senders.RatesListed], "zones": zones,
 		},
--- a/lab/live/connections.go
+++ b/lab/live/connections.go
@@ -88,7 +88,10 @@
 	r.wg.Go(func() { readRequests(nc, requests, stop) })
 	defer func() {
 		if conn != nil {
-			r.loop.Do(func() { conn.OnClose = nil; conn.Close() })
+			r.loop.Do(func() {
+				conn.OnClose = nil
+				conn.Close()
+			})
 		}
 	}()
 	unread := false
--- a/lab/live/load.go
+++ b/lab/live/load.go
@@ -490,6 +490,6 @@
 	class, _ = strconv.Atoi(strings.TrimPrefix(parts[1], "c")) // 0 if another program made the ID
 	number, _, _ := strings.Cut(parts[2], ".")
 	h := fnv.New32a()
-	h.Write([]byte(parts[0] + number)) // never fails: hash.Hash says so
+	h.Write([]byte(parts[0] + number)) // hash.Hash never returns an error
 	return int(h.Sum32()), class
 }
--- a/lab/live/loop.go
+++ b/lab/live/loop.go
@@ -27,8 +27,12 @@
 // Do runs f on the loop's goroutine and waits for it. It returns false if the loop has ended.
 func (l *Loop) Do(f func()) bool {
 	ran := make(chan struct{})
+	call := func() {
+		f()
+		close(ran)
+	}
 	select {
-	case l.calls <- func() { f(); close(ran) }:
+	case l.calls <- call:
 		<-ran
 		return true
 	case <-l.done:
--- a/lab/live/receivers.go
+++ b/lab/live/receivers.go
@@ -84,7 +84,7 @@
 	scenario    *scenario.Scenario
 	loop        *Loop
 	endpointSet *world.ReceiverSet
-	reg         *registry.Registry
+	registry    *registry.Registry
 	discoveries []*platform.Discovery // by sender
 	watcher     Watcher
 	senderCount int
@@ -131,9 +131,9 @@
 	}
 	r.counts.Outcomes = map[string]int{}
 	q := &r.loop.Queue
-	r.reg = registry.New(1, false, s.Registry.Lag.Random(), q, random.Stream(seed, "registry", 0),
+	r.registry = registry.New(1, false, s.Registry.Lag.Random(), q, random.Stream(seed, "registry", 0),
 		func(_ int, e rules.ListUpdate) { r.updateList(e) })
-	r.endpointSet = world.NewReceiverSet(s, seed, q, r.reg, (*observer)(r))
+	r.endpointSet = world.NewReceiverSet(s, seed, q, r.registry, (*observer)(r))
 	for id := rules.EndpointID(1); int(id) <= len(r.endpointSet.Endpoints); id++ {
 		if err := r.listenForEndpoint(r.endpointSet.Endpoints[id]); err != nil {
 			r.closeAll()
@@ -167,14 +167,14 @@
 	env := &trouble.Environment{
 		Scenario: &playable,
 		Queue:    &r.loop.Queue,
-		Registry: r.reg,
+		Registry: r.registry,
 		Weights:  r.scenario.DestinationWeights(),
 		Units:    func() []*receiver.Unit { return r.endpointSet.Units },
 		Replace:  r.replaceEndpoint,
 		Log: func(format string, args ...any) {
 			// A trouble began or ended; this may have changed whether the registry is reachable.
 			for _, d := range r.discoveries {
-				d.DropListRequests(r.reg.Unreachable > 0)
+				d.DropListRequests(r.registry.Unreachable > 0)
 			}
 			r.log(fmt.Sprintf("%8.3fs ", r.loop.Queue.Now().Seconds()) + fmt.Sprintf(format, args...))
 		},
@@ -211,7 +211,7 @@
 		Block:  ep.Unit.Dest,
 		Health: "Ready",
 	}
-	if e, known := r.reg.Entry(ep.ID); known {
+	if e, known := r.registry.Entry(ep.ID); known {
 		listing.Share = e.ListedRate
 	}
 	r.listings[ep.ID] = listing
@@ -249,7 +249,7 @@
 func (r *Receivers) entriesFor(sender int) []platform.Entry {
 	var entries []platform.Entry
 	for _, id := range r.endpointIDs {
-		if e, listed := r.reg.Entry(id); listed && r.listings[id].Health != "Gone" && e.Endpoint == id {
+		if e, listed := r.registry.Entry(id); listed && r.listings[id].Health != "Gone" && e.Endpoint == id {
 			listing := r.listings[id]
 			listing.Dial = r.addrs[id][sender]
 			entries = append(entries, listing)
