--- a/lab/experiment/hunt.go
+++ b/lab/experiment/hunt.go
@@ -34,6 +34,20 @@
 	minimizedLossShare = 0.8
 )
 
+// Ranges of the troubles that a hunt draws. A day has minTroubles to maxTroubles of them. They start within
+// startSpreadSeconds after one moment, which lies between two shares of the run's length, and last minTroubleSeconds to
+// maxTroubleSeconds each.
+const (
+	minTroubles        = 2
+	maxTroubles        = 5
+	minStartShare      = 0.1
+	maxStartShare      = 0.4
+	startSpreadSeconds = 15
+	minTroubleSeconds  = 4
+	maxTroubleSeconds  = 20
+	busyChance         = 0.4 // that a trouble affects the busiest destinations
+)
+
 // Finding is a day on which the decision module did badly.
 type Finding struct {
 	Scenario *scenario.Scenario
@@ -190,8 +204,8 @@
 	out := *s
 	out.Troubles = nil
 	kinds := scenario.TroubleKinds()
-	startSeconds := uniform(r, 0.1, 0.4) * s.Run.Length.D().Seconds()
-	for range 2 + r.IntN(4) {
+	startSeconds := uniform(r, minStartShare, maxStartShare) * s.Run.Length.D().Seconds()
+	for range minTroubles + r.IntN(maxTroubles-minTroubles+1) {
 		out.Troubles = append(out.Troubles, drawTrouble(r, kinds[r.IntN(len(kinds))], startSeconds))
 	}
 	return &out
@@ -205,10 +219,10 @@
 	}
 	t := scenario.Trouble{
 		Kind: kind,
-		At:   seconds(startSeconds + uniform(r, 0, 15)),
-		For:  seconds(uniform(r, 4, 20)),
+		At:   seconds(startSeconds + uniform(r, 0, startSpreadSeconds)),
+		For:  seconds(uniform(r, minTroubleSeconds, maxTroubleSeconds)),
 		Part: roundToHundredth(uniform(r, 0.05, 0.6)),
-		Busy: r.Float64() < 0.4,
+		Busy: r.Float64() < busyChance,
 		By:   "destination",
 	}
 	switch kind {
--- a/lab/experiment/plan.go
+++ b/lab/experiment/plan.go
@@ -21,7 +21,7 @@
 	"eiderhaven/lab/world"
 )
 
-// oraclePolicy is the policy that sees the true state of the receivers and serves as the upper bound in comparisons.
+// oraclePolicy is the policy that sees the true state of the receivers and serves as the reference in comparisons.
 const oraclePolicy = "oracle"
 
 // Axis is one parameter of a grid: a scenario key and its values in the syntax of Scenario.Set.
--- a/lab/experiment/report.go
+++ b/lab/experiment/report.go
@@ -141,7 +141,7 @@
 }
 
 // oracleScores maps axis values and seed (see pairKey) to the G that the oracle policy reached, which serves as the
-// upper bound. It returns nil if no run of the oracle is finished.
+// reference. It returns nil if no run of the oracle is finished.
 func (f *Folder) oracleScores() map[string]float64 {
 	var scores map[string]float64
 	for _, r := range f.Rows() {
