--- a/lab/rig/daemon.go
+++ b/lab/rig/daemon.go
@@ -168,8 +168,17 @@
 // runCount numbers the runs of this program, which may overlap.
 var runCount atomic.Int32
 
+const (
+	// listenPort is the port of all senders.
+	listenPort = 9000
+
+	// addressBytes is how many values listenAddress uses of each byte of an address, 1 to 250.
+	addressBytes = 250
+)
+
 // listenAddress returns the address of one sender of a run. It has an IP address of its own, which the system does not
 // use as the source of outgoing connections, so that none of these can occupy its port.
 func listenAddress(run int32, sender int) string {
-	return fmt.Sprintf("127.%d.%d.%d:9000", 1+run%250, 1+sender%250, 1+os.Getpid()%250)
+	return fmt.Sprintf("127.%d.%d.%d:%d",
+		1+run%addressBytes, 1+sender%addressBytes, 1+os.Getpid()%addressBytes, listenPort)
 }
--- a/lab/rig/judge.go
+++ b/lab/rig/judge.go
@@ -169,12 +169,13 @@
 }
 
 // checkRepeats checks rule 2 for one message: a message that must not take effect twice is not called again unless
-// every earlier call is known to have had no effect.
+// every earlier call was refused before. Messages of a keyed class may be called again within the deduplication window.
 func (r *records) checkRepeats(id string, m *message) []Violation {
 	class := r.scenario.Classes[m.request.Class]
 	for i, c := range m.calls {
 		for _, earlier := range m.calls[:i] {
-			mayHaveRun := earlier.EndedAt.IsZero() || earlier.EndedAt.After(c.ReceivedAt) || earlier.Outcome != "refused"
+			mayHaveRun := earlier.EndedAt.IsZero() || earlier.EndedAt.After(c.ReceivedAt) ||
+				earlier.Outcome != "refused"
 			gap := c.ReceivedAt.Sub(earlier.ReceivedAt)
 			outsideWindow := gap > class.Window.D()+limitSlack
 			if mayHaveRun && (class.Effect == "once" || class.Effect == "keyed" && outsideWindow) {
@@ -250,7 +251,8 @@
 	for i, c := range calls {
 		for j := i - 1; j >= 0 && j > i-maxRefusalDistance; j-- {
 			earlier := calls[j]
-			if earlier.RetryAfterMs > 0 && earlier.Sender == c.Sender && earlier.Unit == c.Unit && !earlier.EndedAt.IsZero() {
+			if earlier.RetryAfterMs > 0 && earlier.Sender == c.Sender &&
+				earlier.Unit == c.Unit && !earlier.EndedAt.IsZero() {
 				refusals[route{earlier.Sender, earlier.Unit}] = earlier
 				break
 			}
--- a/lab/rig/plan.go
+++ b/lab/rig/plan.go
@@ -63,6 +63,9 @@
 	signalHangup = "hangup"
 )
 
+// signalKinds lists the kinds of signals. Draws depend on the order.
+var signalKinds = []string{signalKill, signalTerm, signalStop, signalHangup}
+
 // Limits of a plan. The protocol allows the kill 3.7 s after SIGTERM at the earliest, and the next start 0.6 s after a
 // kill.
 const (
@@ -159,7 +162,7 @@
 
 func (x Signal) check(key string) error {
 	switch {
-	case !slices.Contains([]string{signalKill, signalTerm, signalStop, signalHangup}, x.Kind):
+	case !slices.Contains(signalKinds, x.Kind):
 		return planError(key+".kind", "%q: expected kill, term, stop or hangup", x.Kind)
 	case !isShare(x.Part):
 		return planError(key+".part", "%v: expected more than 0 and at most 1", x.Part)
@@ -204,7 +207,7 @@
 	}
 	for range p.Draw.Signals {
 		x := Signal{
-			Kind: []string{signalKill, signalTerm, signalStop, signalHangup}[r.IntN(4)],
+			Kind: signalKinds[r.IntN(len(signalKinds))],
 			At:   drawBetween(p.Draw.From, p.Draw.To),
 			Part: minSignalPart + signalPartRange*r.Float64(),
 			Gap:  scenario.Duration(r.Float64() * float64(maxSignalGap)),
