--- a/lab/scale/destinations.go
+++ b/lab/scale/destinations.go
@@ -15,6 +15,9 @@
 
 const zoneCount = 7
 
+// unusedPort is the port of the address at which destinations that are down are listed.
+const unusedPort = "9"
+
 // listenersPerZone is how many listeners a zone has: an endpoint that replaces another uses the other listener.
 const listenersPerZone = 2
 
@@ -39,7 +42,7 @@
 // newDestinations starts the listeners of all zones on one address. onCall is called with the message ID of each call
 // and the side of the listener that received it. Nothing may listen on unusedIP.
 func newDestinations(ip, unusedIP string, listedRate float64, onCall func(id string, side int)) (*destinations, error) {
-	d := &destinations{onCall: onCall, unreachableAddr: unusedIP + ":9", listedRate: listedRate}
+	d := &destinations{onCall: onCall, unreachableAddr: unusedIP + ":" + unusedPort, listedRate: listedRate}
 	for z := range zoneCount {
 		for side := range listenersPerZone {
 			addr := fmt.Sprintf("%s:%d", ip, firstPort+listenersPerZone*z+side)
--- a/lab/scale/machine.go
+++ b/lab/scale/machine.go
@@ -25,7 +25,7 @@
 // maxProcesses is the limit of processes of a run, this one included.
 const maxProcesses = 200
 
-// Rough resource needs, on the high side, from measurements. A plan that exceeds the machine by them is refused before
+// Rough resource needs, on the high side. A plan that exceeds the machine by them is refused before
 // anything starts.
 const (
 	realBaseBytes             = 40 << 20 // a process without destinations and messages
--- a/lab/scale/process.go
+++ b/lab/scale/process.go
@@ -105,6 +105,9 @@
 
 const holdTime = time.Hour
 
+// realSeedFactor keeps the seeds of real senders of plans with different seeds apart.
+const realSeedFactor = 1000
+
 // senderSettings returns the settings object of the senders of a step.
 func senderSettings(p *Plan, s setup) map[string]any {
 	var names []string
@@ -157,7 +160,7 @@
 	}
 	config, err := json.Marshal(map[string]any{
 		"name": fmt.Sprint("n", index), "listen": listen, "discovery": g.addr,
-		"seed": fmt.Sprintf("%016x", p.Seed*1000+uint64(index)),
+		"seed": fmt.Sprintf("%016x", p.Seed*realSeedFactor+uint64(index)),
 		"limits": map[string]any{
 			"cores": 1.0, "memory_mb": p.Senders.MemoryMB, "sockets": 1024, "disk_mb": p.Senders.DiskMB,
 		},
--- a/lab/scale/simulated.go
+++ b/lab/scale/simulated.go
@@ -99,8 +99,8 @@
 	simulatedInbox       = 64                   // updates from the registry that may be queued
 	simulatedClasses     = 2                    // messages alternate between the first classes of the settings
 
-	// seedFactor keeps the seeds of senders of plans with different seeds apart.
-	seedFactor = 1_000_003
+	// simulatedSeedFactor keeps the seeds of simulated senders of plans with different seeds apart.
+	simulatedSeedFactor = 1_000_003
 
 	// simulatedStream is the second seed of a sender's random stream, beside that of its settings.
 	simulatedStream = 7
@@ -109,13 +109,16 @@
 	noWakeUp = -1
 )
 
-// Range of the histograms of step times, in nanoseconds.
+// Range of the histograms of step times, in nanoseconds, and the significant digits that they keep.
 const (
-	minStepTime = 1
-	maxStepTime = int64(10 * time.Second)
+	minStepTime    = 1
+	maxStepTime    = int64(10 * time.Second)
+	stepTimeDigits = 3
 )
 
-func newStepTimes() *hdrhistogram.Histogram { return hdrhistogram.New(minStepTime, maxStepTime, 3) }
+func newStepTimes() *hdrhistogram.Histogram {
+	return hdrhistogram.New(minStepTime, maxStepTime, stepTimeDigits)
+}
 
 var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
@@ -124,7 +127,7 @@
 	messageRate float64, lifetime time.Duration,
 	isAccepting func(addr string) bool, onChange func(change, sender int)) *simulatedSender {
 	own := *shared
-	own.Seed = seed*seedFactor + uint64(index)
+	own.Seed = seed*simulatedSeedFactor + uint64(index)
 	s := &simulatedSender{
 		index:             index,
 		gateway:           g,
