--- a/cmd/eiderlab/look.go
+++ b/cmd/eiderlab/look.go
@@ -67,7 +67,8 @@
 		path := args[min(i, len(args)-1)]
 		if scenarioPath != "" {
 			target := filepath.Join(out, []string{"a", "b"}[i])
-			cmd := exec.CommandContext(ctx, path, "sweep", scenarioPath, "--seeds", strconv.Itoa(seeds), "--out", target)
+			cmd := exec.CommandContext(ctx, path,
+				"sweep", scenarioPath, "--seeds", strconv.Itoa(seeds), "--out", target)
 			cmd.Stderr = os.Stderr
 			if err := cmd.Run(); err != nil {
 				return folders, fmt.Errorf("%s: %w", path, err)
--- a/cmd/eiderlab/play.go
+++ b/cmd/eiderlab/play.go
@@ -28,7 +28,7 @@
 	"eiderhaven/lab/world"
 )
 
-// maxPrintedViolations is the number of broken rules printed for a run; the result in --out holds more of them.
+// maxPrintedViolations is the largest number of violations printed for a run; the result in --out holds more of them.
 const maxPrintedViolations = 3
 
 // scenarioFlags holds the flags shared by all commands that read a scenario.
@@ -71,7 +71,9 @@
 	var configs []table.ColumnConfig
 	for i := range t.Head {
 		if i > 0 {
-			configs = append(configs, table.ColumnConfig{Number: i + 1, Align: text.AlignRight, AlignHeader: text.AlignRight})
+			configs = append(configs, table.ColumnConfig{
+				Number: i + 1, Align: text.AlignRight, AlignHeader: text.AlignRight,
+			})
 		}
 	}
 	w.SetColumnConfigs(configs)
@@ -400,7 +402,8 @@
 				if d := time.Duration(at * float64(time.Second)); d < from || to > 0 && d > to {
 					return
 				}
-				if message != "" && !strings.Contains(line, " "+message+":") && !strings.Contains(line, " "+message+".") {
+				if message != "" &&
+					!strings.Contains(line, " "+message+":") && !strings.Contains(line, " "+message+".") {
 					return
 				}
 				printed++
