--- a/lab/baseline/baseline.go
+++ b/lab/baseline/baseline.go
@@ -20,7 +20,7 @@
 	// While messages wait to be sent, a sender steps at least once in this many ticks.
 	idleTicks = 10
 
-	// A randomized wait is drawn between this share of its mean and one more than it.
+	// A random wait is drawn between this share of its mean and 1 plus this share of it.
 	minWaitShare = 0.5
 )
 
@@ -368,8 +368,8 @@
 	return list
 }
 
-// send adds the action that sends a message. The message starts a new call unless this step's latest
-// one to the endpoint has room.
+// send adds the action that sends a message. The message starts a new call unless this step's latest call to the
+// endpoint has room.
 func (eng *engine) send(m *message, ep *endpoint) {
 	m.attempts++
 	m.inFlight++
--- a/lab/judge/judge.go
+++ b/lab/judge/judge.go
@@ -58,7 +58,8 @@
 	// Number of violations that are kept in full; the rest are only counted.
 	maxKeptViolations = 50
 
-	// Messages are grouped by deadline into intervals of this length. Sweep handles whole intervals.
+	// Messages are grouped by the time when they must have ended into intervals of this length. Sweep handles whole
+	// intervals.
 	sweepInterval = 100 * time.Millisecond
 
 	// Number of senders listed in the trail of a RecoveryOverload, those with the most calls first.
--- a/lab/receiver/receiver.go
+++ b/lab/receiver/receiver.go
@@ -336,7 +336,7 @@
 	// maxFreeErrorShare is the error share from which HasCapacity reports no capacity.
 	maxFreeErrorShare = 0.5
 
-	// serversPerWaiting is the number of servers for each waiting call that HasCapacity puts up with.
+	// HasCapacity requires more servers than this for each call that waits.
 	serversPerWaiting = 3
 )
 
--- a/lab/rig/watch.go
+++ b/lab/rig/watch.go
@@ -156,7 +156,7 @@
 	}
 }
 
-// Outage records the begin or the end of a unit's outage.
+// Outage records that an outage of a unit began or ended.
 func (w *watcher) Outage(u *receiver.Unit, begins bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/lab/sender/sender.go
+++ b/lab/sender/sender.go
@@ -81,7 +81,7 @@
 
 	poolsCreated int
 	retained     []*heldMessage              // messages kept while the process is down
-	outages      map[rules.EndpointID]outage // endpoints considered out; kept across restarts with the state
+	outages      map[rules.EndpointID]outage // endpoints considered out; kept across restarts with state
 	PeakHeld     int                         // largest number of messages held
 	accepted     int                         // number of messages accepted
 }
@@ -226,7 +226,7 @@
 type observer interface{ Observe() rules.Observations }
 
 // recordOutages records which endpoints the policy considers out. Like the daemon's ledger, the record outlasts a
-// restart.
+// restart with state.
 func (h *Host) recordOutages(now time.Duration) {
 	o, ok := h.policy.(observer)
 	if !ok {
