--- a/rules/answers_test.go
+++ b/rules/answers_test.go
@@ -9,11 +9,11 @@
 )
 
 func TestMessageGetsOneFinalAnswerByItsDeadline(t *testing.T) {
-	for _, class := range []int{safe, once, keyed, ordered} {
+	for _, class := range []int{safe, atMostOnce, keyed, ordered} {
 		b := newBench(t, nil)
-		b.take(class)
+		b.submit(class)
 		out := b.wait(16*sec + 20*ms)
-		if got := finals(out); got != 1 {
+		if got := countFinalAnswers(out); got != 1 {
 			t.Errorf("class %d: %d final answers by the end of the answer grace, want 1", class, got)
 		}
 		if got := b.wait(5 * sec); len(got) != 0 {
@@ -24,9 +24,9 @@
 
 func TestFinalAnswerPrecedesDeadlineWithLongTick(t *testing.T) {
 	b := newBench(t, func(s *Settings) { s.Tick = 100 * ms }, Entry{Endpoint: 11, Destination: 2})
-	b.take(safe)
+	b.submit(safe)
 	b.now += 16*sec - 150*ms
-	if got := finals(b.step(WakeUp{})); got != 1 {
+	if got := countFinalAnswers(b.step(WakeUp{})); got != 1 {
 		t.Errorf("%d final answers in the last step before the deadline, want 1", got)
 	}
 }
@@ -34,38 +34,38 @@
 func TestAllMessagesAreAnsweredAfterClockJump(t *testing.T) {
 	b := newBench(t, nil, Entry{Endpoint: 11, Destination: 2})
 	for range 5 {
-		b.take(safe)
+		b.submit(safe)
 	}
 	b.now += 60 * sec
-	if got := finals(b.step(WakeUp{})); got != 5 {
+	if got := countFinalAnswers(b.step(WakeUp{})); got != 5 {
 		t.Errorf("%d final answers after a clock jump, want 5", got)
 	}
 }
 
 func TestWithdrawnMessageGetsNoFinalAnswer(t *testing.T) {
 	b := newBench(t, nil)
-	id, _ := b.take(safe)
+	id, _ := b.submit(safe)
 	b.step(Withdrawn{ID: id})
 	b.step(Withdrawn{ID: id}) // a repeated event
-	if got := finals(b.wait(17 * sec)); got != 0 {
+	if got := countFinalAnswers(b.wait(17 * sec)); got != 0 {
 		t.Errorf("%d final answers to a withdrawn message, want 0", got)
 	}
 }
 
 func TestKeyedMessageEndsWithItsDedupWindow(t *testing.T) {
 	b := newBench(t, nil)
-	id, _ := b.take(keyed)
+	id, _ := b.submit(keyed)
 	b.step(ListUpdate{Entries: []Entry{{Endpoint: 11, Destination: 1, Gone: true}}})
-	b.end(id, 0, 11, Reset)
-	if got := finals(b.wait(6*sec + 50*ms)); got != 1 {
+	b.endAttempt(id, 0, 11, Reset)
+	if got := countFinalAnswers(b.wait(6*sec + 50*ms)); got != 1 {
 		t.Errorf("%d final answers by the end of the deduplication window, want 1", got)
 	}
 }
 
 func TestMessageIsRefusedAfterItsLastAttempt(t *testing.T) {
 	b := newBench(t, func(s *Settings) { s.MaxAttempts = 1 })
-	id, _ := b.take(safe)
-	if out := b.end(id, 0, 11, Errored); len(pick[Refuse](out)) != 1 {
+	id, _ := b.submit(safe)
+	if out := b.endAttempt(id, 0, 11, Errored); len(actionsOf[Refuse](out)) != 1 {
 		t.Errorf("got %v, want a refusal at once", out)
 	}
 }
@@ -74,8 +74,8 @@
 	b := newBench(t, func(s *Settings) { s.MaxHeld = 32 }, Entry{Endpoint: 21, Destination: 2})
 	refused := 0
 	for range 40 {
-		id, out := b.take(safe)
-		for _, r := range pick[Refuse](out) {
+		id, out := b.submit(safe)
+		for _, r := range actionsOf[Refuse](out) {
 			refused++
 			if r.ID != id { // of messages of equal worth the newest has most time left to be submitted again
 				t.Errorf("%s was evicted, want the newest, %s", r.ID, id)
@@ -91,8 +91,8 @@
 func TestRefusalCarriesRetryAfter(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		b := newBench(t, func(s *Settings) { s.MaySendRetryAfter, s.MaxAttempts = allowed, 1 })
-		id, _ := b.take(safe)
-		out := pick[Refuse](b.end(id, 0, 11, Refused, withRetryAfter(1500*ms)))
+		id, _ := b.submit(safe)
+		out := actionsOf[Refuse](b.endAttempt(id, 0, 11, Refused, withRetryAfter(1500*ms)))
 		if len(out) != 1 {
 			t.Fatal("no refusal")
 		}
@@ -113,9 +113,9 @@
 			Entry{Endpoint: 11, Destination: 1, Kind: 1},
 			Entry{Endpoint: 12, Destination: 1, Kind: 1},
 			Entry{Endpoint: 13, Destination: 1, Kind: 1})
-		id, _ := b.take(safe)
+		id, _ := b.submit(safe)
 		pause := seconds(b.s.refusalPause(&b.s.settings.Classes[safe]))
-		out := append(b.end(id, 0, 11, Refused), b.wait(pause/2-5*ms)...)
+		out := append(b.endAttempt(id, 0, 11, Refused), b.wait(pause/2-5*ms)...)
 		if got := len(sends(out)) > 0; got != c.want {
 			t.Errorf("%d senders: sent again within half of the pause: %v, want %v", c.senders, got, c.want)
 		}
@@ -159,11 +159,12 @@
 		ep := b.s.endpoint(11)
 		b.s.startProbation(ep, Refused, CauseFailures)
 		ep.failingSince, ep.lastCharged = b.now-10*sec, b.now+20*sec // an old outage, with a long probe interval
-		id, out := b.take(safe)
-		refused := pick[Refuse](append(out, b.wait(10*ms)...))
+		id, out := b.submit(safe)
+		refused := actionsOf[Refuse](append(out, b.wait(10*ms)...))
 		shed := slices.ContainsFunc(refused, func(r Refuse) bool { return r.ID == id && r.RetryAfter > 0 })
 		if want := senders > smallFleet; shed != want {
-			t.Errorf("%d senders: refused %v; %v shed with a Retry-After: %v, want %v", senders, refused, id, shed, want)
+			t.Errorf("%d senders: refused %v; %v shed with a Retry-After: %v, want %v",
+				senders, refused, id, shed, want)
 		}
 	}
 }
--- a/rules/breaker_test.go
+++ b/rules/breaker_test.go
@@ -11,20 +11,20 @@
 // Each class has timings of its own, so that a slow class does not make a fast one late.
 func TestBreakerOpensForUnansweredClassOnly(t *testing.T) {
 	b := newBench(t, nil, Entry{Endpoint: 11, Destination: 1}, Entry{Endpoint: 12, Destination: 1})
-	b.answered(11, safe, 100*ms) // of lower cost, so that cost alone would choose it
-	b.answered(12, safe, sec)
-	first, _ := b.take(safe)
+	b.processAnswer(11, safe, 100*ms) // of lower cost, so that cost alone would choose it
+	b.processAnswer(12, safe, sec)
+	first, _ := b.submit(safe)
 	ep := b.s.endpoint(11)
 	b.wait(b.s.lateAfter(ep, safe) + 10*ms)
-	b.answered(11, ordered, 3*sec)
-	if _, out := b.take(safe); len(sends(out)) != 1 || sends(out)[0].Endpoint != 12 {
+	b.processAnswer(11, ordered, 3*sec)
+	if _, out := b.submit(safe); len(sends(out)) != 1 || sends(out)[0].Endpoint != 12 {
 		t.Errorf("sent %v, want one to the endpoint that answers the class", sends(out))
 	}
 	if b.s.breakerOpen(ep, ordered) || !b.s.breakerOpen(ep, safe) ||
 		b.s.lateAfter(ep, safe) >= b.s.lateAfter(ep, ordered) {
 		t.Error("want the breaker open for the unanswered class only, and lateAfter shorter for that class")
 	}
-	if b.end(first, 0, 11, OK); b.s.breakerOpen(ep, safe) {
+	if b.endAttempt(first, 0, 11, OK); b.s.breakerOpen(ep, safe) {
 		t.Error("the breaker is still open after an answer")
 	}
 }
@@ -52,11 +52,11 @@
 	} {
 		b := newBench(t, func(s *Settings) { s.MayShareHints, s.Senders = true, 50 },
 			Entry{Endpoint: 11, Destination: 1}, Entry{Endpoint: 12, Destination: 1})
-		b.answered(11, safe, 100*ms)
-		b.answered(12, safe, sec)
+		b.processAnswer(11, safe, 100*ms)
+		b.processAnswer(12, safe, sec)
 		b.step(c.events...)
 		var got EndpointID
-		if _, out := b.take(safe); len(sends(out)) == 1 {
+		if _, out := b.submit(safe); len(sends(out)) == 1 {
 			got = sends(out)[0].Endpoint
 		}
 		if got != c.want {
@@ -75,12 +75,12 @@
 		received, want int
 	}{{true, 0, 1}, {true, 1, 1}, {true, 2, 0}, {false, 0, 0}} {
 		b := newBench(t, func(s *Settings) { s.MayShareHints = c.allowed })
-		b.take(safe)
-		early := len(pick[PublishHint](b.wait(longOverdueFactor * initialLateAfter)))
+		b.submit(safe)
+		early := len(actionsOf[PublishHint](b.wait(longOverdueFactor * initialLateAfter)))
 		for range c.received {
 			b.step(HintReceived{Hint{Endpoint: 11, Class: safe}})
 		}
-		got := pick[PublishHint](b.wait(sec))
+		got := actionsOf[PublishHint](b.wait(sec))
 		if early > 0 || len(got) != c.want || c.want == 1 && got[0] != (PublishHint{Hint{Endpoint: 11, Class: safe}}) {
 			t.Errorf("allowed %v, %d received: published %d early and then %v, want none early and then %d",
 				c.allowed, c.received, early, got, c.want)
@@ -95,8 +95,8 @@
 	shareHints := func(s *Settings) { s.MayShareHints, s.Senders, s.RatesListed, s.RatesExact = true, 200, true, true }
 	entry := Entry{Endpoint: 11, Destination: 1, ListedRate: 10}
 	b := newBench(t, shareHints, entry)
-	id, _ := b.take(safe)
-	hints := pick[PublishHint](b.end(id, 0, 11, Refused, withRetryAfter(8*sec)))
+	id, _ := b.submit(safe)
+	hints := actionsOf[PublishHint](b.endAttempt(id, 0, 11, Refused, withRetryAfter(8*sec)))
 	if want := (PublishHint{Hint{Endpoint: 11, RetryAfter: 8 * sec}}); len(hints) != 1 || hints[0] != want {
 		t.Fatalf("published %v, want %v", hints, want)
 	}
@@ -105,7 +105,7 @@
 	for i := range others {
 		other := newBench(t, func(s *Settings) { shareHints(s); s.Seed = uint64(i) }, entry)
 		other.step(HintReceived{hints[0].Hint})
-		_, out := other.take(safe)
+		_, out := other.submit(safe)
 		early += len(sends(append(out, other.wait(8*sec-10*ms)...)))
 		calls += len(sends(other.wait(sec)))
 	}
--- a/rules/endpoints_test.go
+++ b/rules/endpoints_test.go
@@ -13,7 +13,7 @@
 	forgotten := 0
 	for i := range 3000 {
 		removed, added := EndpointID(11+i), EndpointID(12+i)
-		id := b.arrive(ordered)
+		id := b.newMessageID()
 		for _, a := range b.step(
 			Arrived{ID: id, Destination: 1, Class: ordered, OrderKey: string(id), TimeLeft: 16 * sec},
 			ListUpdate{Entries: []Entry{
@@ -57,7 +57,7 @@
 	}
 
 	b := newBench(t, nil)
-	id, _ := b.take(once)
+	id, _ := b.submit(atMostOnce)
 	b.step(removal)
 	b.wait(goneRetention)
 	if forgets(b.step(ListUpdate{Entries: []Entry{other}})) {
--- a/rules/harness_test.go
+++ b/rules/harness_test.go
@@ -38,7 +38,7 @@
 // Classes of testSettings.
 const (
 	safe = iota
-	once
+	atMostOnce
 	keyed
 	ordered
 	keyedZone
@@ -46,11 +46,11 @@
 
 // bench drives one sender and records its actions.
 type bench struct {
-	t   *testing.T
-	s   *Sender
-	now time.Duration
-	n   int
-	log []Action
+	t            *testing.T
+	s            *Sender
+	now          time.Duration
+	messageCount int
+	actions      []Action
 }
 
 // newBench returns a bench whose sender has been given a list of entries, by default endpoint 11 of destination 1.
@@ -71,7 +71,7 @@
 func (b *bench) step(events ...Event) []Action {
 	b.t.Helper()
 	out := b.s.Step(b.now, events)
-	b.log = append(b.log, out...)
+	b.actions = append(b.actions, out...)
 	return out
 }
 
@@ -85,24 +85,25 @@
 	return out
 }
 
-func (b *bench) arrive(class int) MessageID {
-	b.n++
-	return MessageID(fmt.Sprintf("m%d", b.n))
+// newMessageID returns the IDs m1, m2 and so on.
+func (b *bench) newMessageID() MessageID {
+	b.messageCount++
+	return MessageID(fmt.Sprintf("m%d", b.messageCount))
 }
 
-// take submits a message to destination 1 and returns its ID and the actions that follow.
-func (b *bench) take(class int) (MessageID, []Action) {
-	id := b.arrive(class)
+// submit submits a message to destination 1 and returns its ID and the actions that follow.
+func (b *bench) submit(class int) (MessageID, []Action) {
+	id := b.newMessageID()
 	return id, b.step(Arrived{ID: id, Destination: 1, Class: class, TimeLeft: 16 * sec})
 }
 
 // reply is how and when a scripted endpoint ends an attempt.
 type reply struct {
-	o     Outcome
-	after time.Duration
-	wait  time.Duration
+	outcome    Outcome
+	after      time.Duration
+	retryAfter time.Duration
 
-	noPlace bool
+	connectionLimitReached bool
 }
 
 // ended returns the event of an attempt that ended with the reply.
@@ -111,11 +112,11 @@
 		ID:                     id,
 		Attempt:                number,
 		Endpoint:               endpoint,
-		Outcome:                r.o,
+		Outcome:                r.outcome,
 		Elapsed:                r.after,
-		Finished:               r.o == OK,
-		RetryAfter:             r.wait,
-		ConnectionLimitReached: r.noPlace,
+		Finished:               r.outcome == OK,
+		RetryAfter:             r.retryAfter,
+		ConnectionLimitReached: r.connectionLimitReached,
 	}
 }
 
@@ -156,7 +157,7 @@
 			case Send:
 				r := script(a.Endpoint)
 				if a.Timeout > 0 && r.after > a.Timeout {
-					r.o, r.after = TimedOut, a.Timeout
+					r.outcome, r.after = TimedOut, a.Timeout
 				}
 				pending = append(pending, pendingEvent{b.now + r.after, r.ended(a.ID, attempts[a.ID], a.Endpoint)})
 				attempts[a.ID]++
@@ -176,11 +177,12 @@
 
 // always returns a script that gives every attempt the same reply.
 func always(o Outcome, after time.Duration) func(EndpointID) reply {
-	return func(EndpointID) reply { return reply{o: o, after: after} }
+	return func(EndpointID) reply { return reply{outcome: o, after: after} }
 }
 
-// end ends an attempt after 100 ms with an outcome, and returns the actions that follow.
-func (b *bench) end(id MessageID, attempt int, ep EndpointID, o Outcome, change ...func(*AttemptEnded)) []Action {
+// endAttempt ends an attempt after 100 ms with an outcome, and returns the actions that follow.
+func (b *bench) endAttempt(id MessageID, attempt int, ep EndpointID, o Outcome,
+	change ...func(*AttemptEnded)) []Action {
 	e := AttemptEnded{ID: id, Attempt: attempt, Endpoint: ep, Outcome: o, Elapsed: 100 * ms, Finished: o == OK}
 	for _, f := range change {
 		f(&e)
@@ -192,17 +194,17 @@
 func (b *bench) serve(n, class int, ep EndpointID) {
 	b.t.Helper()
 	for range n {
-		id, out := b.take(class)
+		id, out := b.submit(class)
 		if got := sends(out); len(got) != 1 {
 			b.t.Fatalf("serve: %d sends, want 1", len(got))
 		}
 		b.wait(100 * ms)
-		b.end(id, 0, ep, OK)
+		b.endAttempt(id, 0, ep, OK)
 	}
 }
 
-// made returns a call of one message of the class that was sent at the given time.
-func (b *bench) made(ep EndpointID, class int, sentAt time.Duration) *call {
+// callSentAt returns a call of one message of the class that was sent at the given time.
+func (b *bench) callSentAt(ep EndpointID, class int, sentAt time.Duration) *call {
 	return &call{
 		endpoint: b.s.endpoint(ep),
 		sentAt:   sentAt,
@@ -210,13 +212,13 @@
 	}
 }
 
-// answered has the sender process the answer to a call of the class that took the given time.
-func (b *bench) answered(ep EndpointID, class int, elapsed time.Duration) {
-	b.s.onSuccess(b.made(ep, class, b.s.now-elapsed), max(elapsed, 100*ms))
+// processAnswer has the sender process the answer to a call of the class that took the given time.
+func (b *bench) processAnswer(ep EndpointID, class int, elapsed time.Duration) {
+	b.s.onSuccess(b.callSentAt(ep, class, b.s.now-elapsed), max(elapsed, 100*ms))
 }
 
-// pick returns the actions of one type.
-func pick[T Action](actions []Action) []T {
+// actionsOf returns the actions of one type.
+func actionsOf[T Action](actions []Action) []T {
 	var out []T
 	for _, a := range actions {
 		if x, ok := a.(T); ok {
@@ -226,7 +228,9 @@
 	return out
 }
 
-func sends(actions []Action) []Send { return pick[Send](actions) }
+func sends(actions []Action) []Send { return actionsOf[Send](actions) }
 
-// finals returns the number of final answers among the actions.
-func finals(actions []Action) int { return len(pick[Refuse](actions)) + len(pick[Fail](actions)) }
+// countFinalAnswers returns the number of final answers among the actions.
+func countFinalAnswers(actions []Action) int {
+	return len(actionsOf[Refuse](actions)) + len(actionsOf[Fail](actions))
+}
--- a/rules/health_test.go
+++ b/rules/health_test.go
@@ -27,7 +27,7 @@
 		for _, o := range c.outcomes {
 			b.now += 10 * ms
 			b.s.now = b.now
-			b.s.assessOutcome(b.made(11, safe, b.now-5*ms), AttemptEnded{Outcome: o, Elapsed: 5 * ms})
+			b.s.assessOutcome(b.callSentAt(11, safe, b.now-5*ms), AttemptEnded{Outcome: o, Elapsed: 5 * ms})
 		}
 		if ep.health != c.want {
 			t.Errorf("%s: health %d, want %d", c.name, ep.health, c.want)
@@ -38,12 +38,12 @@
 func TestUnresponsiveEndpointGetsFreshConnections(t *testing.T) {
 	b := newBench(t, nil)
 	b.serve(10, safe, 11)
-	b.take(safe)
+	b.submit(safe)
 	out := b.wait(2 * sec)
-	if len(pick[Cancel](out)) != 1 || len(pick[CloseIdle](out)) == 0 {
+	if len(actionsOf[Cancel](out)) != 1 || len(actionsOf[CloseIdle](out)) == 0 {
 		t.Fatalf("unresponsive: got %v, want the repeatable call cancelled and idle connections closed", out)
 	}
-	b.end("m11", 0, 11, Cancelled)
+	b.endAttempt("m11", 0, 11, Cancelled)
 	calls := b.run(sec, always(OK, 50*ms))
 	if len(b.s.held) != 0 {
 		t.Fatalf("%d calls, %d messages held: want the message sent again and served", len(calls), len(b.s.held))
@@ -60,9 +60,9 @@
 		for range broken {
 			b.s.brokenConnections.add(b.now, trafficSpan, 1)
 		}
-		b.take(safe)
+		b.submit(safe)
 		out := b.wait(minLateAfter + 200*ms)
-		if got, want := len(pick[Cancel](out)) > 0, broken > 1; got != want {
+		if got, want := len(actionsOf[Cancel](out)) > 0, broken > 1; got != want {
 			t.Errorf("after %d broken connections: renewed at the first late answer %v, want %v", broken, got, want)
 		}
 		if b.s.endpoint(11).health != healthy {
@@ -77,11 +77,11 @@
 func TestKeyedCallTimesOutWithinDedupWindow(t *testing.T) {
 	b := newBench(t, nil)
 	b.serve(20, safe, 11)
-	_, out := b.take(keyed)
+	_, out := b.submit(keyed)
 	if got := sends(out)[0].Timeout; got <= 0 || got > b.s.settings.Classes[keyed].Window/2 {
 		t.Errorf("timeout %v, want a time in the first half of the deduplication window", got)
 	}
-	if got := pick[Cancel](b.wait(time.Second)); len(got) > 0 {
+	if got := actionsOf[Cancel](b.wait(time.Second)); len(got) > 0 {
 		t.Errorf("cancelled early: %v", got)
 	}
 }
@@ -97,11 +97,11 @@
 		calls := 0
 		loseFirst := func(EndpointID) reply {
 			if calls++; calls <= c.lost {
-				return reply{o: OK, after: time.Minute}
+				return reply{outcome: OK, after: time.Minute}
 			}
-			return reply{o: OK, after: 50 * ms}
+			return reply{outcome: OK, after: 50 * ms}
 		}
-		id := b.arrive(safe)
+		id := b.newMessageID()
 		b.now += 5 * ms
 		b.step(Arrived{ID: id, Destination: 1, Class: safe, TimeLeft: 16 * sec})
 		b.run(8*sec, loseFirst)
@@ -114,8 +114,8 @@
 func TestUnansweredAtMostOnceCallIsNotCancelled(t *testing.T) {
 	b := newBench(t, nil)
 	b.serve(10, safe, 11)
-	b.take(once)
-	if out := b.wait(10 * sec); len(pick[Cancel](out)) != 0 {
+	b.submit(atMostOnce)
+	if out := b.wait(10 * sec); len(actionsOf[Cancel](out)) != 0 {
 		t.Error("an at-most-once call was cancelled while slots were free")
 	}
 }
@@ -124,7 +124,7 @@
 	b := newBench(t, nil)
 	ep := b.s.endpoint(11)
 	b.s.startProbation(ep, Reset, CauseFailures)
-	b.answered(11, safe, sec)
+	b.processAnswer(11, safe, sec)
 	if ep.health != probation {
 		t.Error("the answer to a call sent before probation ended it")
 	}
@@ -132,9 +132,9 @@
 
 func TestMissingSlotIsNoFailure(t *testing.T) {
 	b := newBench(t, nil)
-	id, _ := b.take(once)
-	out := b.end(id, 0, 11, NotSent, func(e *AttemptEnded) { e.NoFreeSlot = true })
-	if b.s.endpoint(11).consecutiveFailures != 0 || finals(out) != 0 {
+	id, _ := b.submit(atMostOnce)
+	out := b.endAttempt(id, 0, 11, NotSent, func(e *AttemptEnded) { e.NoFreeSlot = true })
+	if b.s.endpoint(11).consecutiveFailures != 0 || countFinalAnswers(out) != 0 {
 		t.Error("a call that was never sent counted against its endpoint or its message")
 	}
 }
@@ -164,11 +164,11 @@
 			b.s.endpoint(11).consecutiveFailures = 0 // suspicion has its own tests
 		}
 		for range c.answers {
-			b.answered(11, safe, 50*ms)
+			b.processAnswer(11, safe, 50*ms)
 		}
 		b.wait(3 * sec)
-		id, _ := b.take(safe)
-		if got := len(pick[CloseIdle](b.end(id, 0, 11, OK))); got != c.want {
+		id, _ := b.submit(safe)
+		if got := len(actionsOf[CloseIdle](b.endAttempt(id, 0, 11, OK))); got != c.want {
 			t.Errorf("%s: closed %d times, want %d", c.name, got, c.want)
 		}
 	}
@@ -179,15 +179,15 @@
 func TestConnectionLimitIsRetriedWithBackoff(t *testing.T) {
 	b := newBench(t, func(s *Settings) { s.Senders = 300; s.MaxAttempts = 100 })
 	b.serve(1, safe, 11)
-	b.take(safe)
+	b.submit(safe)
 	limitReached := true
 	script := func(EndpointID) reply {
 		if limitReached {
-			return reply{o: ConnectError, after: 20 * ms, noPlace: true}
+			return reply{outcome: ConnectError, after: 20 * ms, connectionLimitReached: true}
 		}
-		return reply{o: OK, after: 100 * ms}
+		return reply{outcome: OK, after: 100 * ms}
 	}
-	b.end("m2", 0, 11, ConnectError, func(e *AttemptEnded) { e.ConnectionLimitReached = true })
+	b.endAttempt("m2", 0, 11, ConnectError, func(e *AttemptEnded) { e.ConnectionLimitReached = true })
 	connects := b.run(6*sec, script)
 	if len(connects) < 4 || len(connects) > 12 {
 		t.Errorf("%d connects in 6 s, with answers after 0.1 s, want 4 to 12", len(connects))
@@ -206,7 +206,7 @@
 }
 
 // All calls may become slow at once, and then no single endpoint is late. Seen on day h4ae20d of scenario
-// kl-head-office, found by a search for bad days.
+// kl-head-office, which "eiderlab hunt" found.
 func TestLateAfterAllowsForGeneralSlowness(t *testing.T) {
 	var entries []Entry
 	for i := range EndpointID(10) {
@@ -217,7 +217,7 @@
 	for _, elapsed := range []time.Duration{sec, 2 * sec, sec} {
 		for i := range EndpointID(50) {
 			if ep := 11 + i%10; ep != 11 || elapsed == sec && len(late) == 0 {
-				b.answered(ep, safe, elapsed)
+				b.processAnswer(ep, safe, elapsed)
 			}
 		}
 		late = append(late, b.s.lateAfter(b.s.endpoint(11), safe))
@@ -234,9 +234,9 @@
 		b := newBench(t, nil)
 		b.serve(3, safe, 11)
 		before := b.s.endpoint(11).latency
-		id, _ := b.take(safe)
+		id, _ := b.submit(safe)
 		b.now = b.s.wakeAt + stall
-		b.end(id, 0, 11, OK, func(e *AttemptEnded) { e.Elapsed = 300*ms + stall })
+		b.endAttempt(id, 0, 11, OK, func(e *AttemptEnded) { e.Elapsed = 300*ms + stall })
 		if learned := b.s.endpoint(11).latency != before; learned != (stall == 0) {
 			t.Errorf("stall of %v: latency learned %v, want %v", stall, learned, stall == 0)
 		}
@@ -252,9 +252,9 @@
 		failures int
 	}{{300, 5 * sec, 1}, {300, 100 * ms, 0}, {2, 5 * sec, 0}} {
 		b := newBench(t, func(s *Settings) { s.Senders = c.senders })
-		id, _ := b.take(once)
+		id, _ := b.submit(atMostOnce)
 		b.now += c.inFlight
-		b.end(id, 0, 11, Cancelled)
+		b.endAttempt(id, 0, 11, Cancelled)
 		if got := b.s.endpoint(11).consecutiveFailures; got != c.failures {
 			t.Errorf("%d senders, cancelled after %v: %d failures, want %d", c.senders, c.inFlight, got, c.failures)
 		}
@@ -269,7 +269,8 @@
 	}{{20 * ms, 0}, {sec, 1}} {
 		b := largeFleetBench(t)
 		b.s.now = b.now
-		b.s.assessOutcome(b.made(11, safe, b.now-c.inFlight), AttemptEnded{Outcome: TimedOut, Elapsed: c.inFlight})
+		b.s.assessOutcome(b.callSentAt(11, safe, b.now-c.inFlight),
+			AttemptEnded{Outcome: TimedOut, Elapsed: c.inFlight})
 		if got := b.s.endpoint(11).consecutiveFailures; got != c.failures {
 			t.Errorf("timed out after %v: %d failures, want %d", c.inFlight, got, c.failures)
 		}
@@ -278,7 +279,7 @@
 
 // In a large fleet, calls sent before an outage, or at the same time as the call that failed, may be answered after
 // the failure. Such an answer clears no failure, and does not turn a time-out into a single lost answer. Seen in the
-// soak with seed 1005: nine of the fifteen calls that overloaded a destination during its recovery came from four
+// soak of the lab's rig with seed 1005: nine of the fifteen calls that overloaded a destination during its recovery came from four
 // senders whose latest outcomes there had been a failure and then an answer to an older call.
 func TestAnswerToOlderCallClearsNoFailure(t *testing.T) {
 	for _, c := range []struct {
@@ -290,7 +291,7 @@
 		ep := b.s.endpoint(11)
 		b.s.now = b.now
 		b.s.onFailure(ep, b.now-2*sec, Errored)
-		b.s.onSuccess(b.made(11, safe, b.now-2*sec+c.sentAfter), sec)
+		b.s.onSuccess(b.callSentAt(11, safe, b.now-2*sec+c.sentAfter), sec)
 		if ep.consecutiveFailures != c.failures {
 			t.Errorf("%d senders, a call sent %v after the failed one was answered: %d failures, want %d",
 				c.senders, c.sentAfter, ep.consecutiveFailures, c.failures)
@@ -304,7 +305,7 @@
 		b := newBench(t, func(s *Settings) { s.Senders = c.senders })
 		ep := b.s.endpoint(11)
 		b.s.now = b.now
-		b.s.onSuccess(b.made(11, safe, b.now-6*sec+c.sentAfter), 3*sec)
+		b.s.onSuccess(b.callSentAt(11, safe, b.now-6*sec+c.sentAfter), 3*sec)
 		b.s.onFailure(ep, b.now-6*sec, TimedOut)
 		if ep.consecutiveFailures != c.failures {
 			t.Errorf("%d senders, a time-out after the answer to a call sent %v after it: %d failures, want %d",
--- a/rules/observe_test.go
+++ b/rules/observe_test.go
@@ -18,12 +18,12 @@
 	ep.failingSince = b.now - 5*sec
 	b.s.startProbation(ep, Reset, CauseFailures)
 	ep.limitScope.controller.notBefore = b.now + 20*sec // else the message would be sent as the probe
-	late, _ := b.take(once)
+	late, _ := b.submit(atMostOnce)
 	b.wait(30 * sec)
 	ep.preOutageRate = 20
-	b.answered(11, safe, 0)
+	b.processAnswer(11, safe, 0)
 	b.wait(11 * sec)
-	b.answered(11, safe, 0)
+	b.processAnswer(11, safe, 0)
 	o := b.s.Observe()
 	type change struct {
 		From, To State
--- a/rules/ratecontrol_test.go
+++ b/rules/ratecontrol_test.go
@@ -125,7 +125,7 @@
 	controller := &b.s.endpoint(11).limitScope.controller
 	controller.rate, controller.nextSend, controller.lastRefusal = 2, b.now+sec, b.now
 	for range 6 {
-		b.take(safe)
+		b.submit(safe)
 	}
 	out := b.wait(sec)
 	if len(sends(out)) != 4 {
@@ -149,7 +149,7 @@
 	b := newBench(t, func(s *Settings) { s.RatesListed = true }, Entry{Endpoint: 11, Destination: 1, ListedRate: 0.5})
 	n := 0
 	for range 4 {
-		_, out := b.take(safe)
+		_, out := b.submit(safe)
 		n += len(sends(out))
 	}
 	if n != 4 {
@@ -160,15 +160,15 @@
 func TestLastingRefusalsCountAsOutage(t *testing.T) {
 	b := newBench(t, nil)
 	b.serve(3, safe, 11)
-	id, _ := b.take(safe)
-	b.end(id, 0, 11, Refused, withRetryAfter(longRetryAfter+sec))
+	id, _ := b.submit(safe)
+	b.endAttempt(id, 0, 11, Refused, withRetryAfter(longRetryAfter+sec))
 	if ep := b.s.endpoint(11); ep.health != slowStart || ep.healthSince != b.now+longRetryAfter+sec {
 		t.Errorf("health %d since %v: a Retry-After longer than a limit's own did not count as an outage until its end",
 			ep.health, ep.healthSince)
 	}
 	b = newBench(t, nil)
 	b.serve(3, safe, 11)
-	b.take(safe)
+	b.submit(safe)
 	b.run(outageRefusalSpan+4*sec, always(Refused, 10*ms))
 	if b.s.endpoint(11).health != probation {
 		t.Error("nothing but refusals over seconds did not count as an outage")
@@ -179,8 +179,8 @@
 func TestFirstGapIsRandomInLargeFleet(t *testing.T) {
 	for _, senders := range []int{3, 300} {
 		b := newBench(t, func(s *Settings) { s.Senders = senders })
-		id, _ := b.take(safe)
-		b.end(id, 0, 11, Refused)
+		id, _ := b.submit(safe)
+		b.endAttempt(id, 0, 11, Refused)
 		controller := b.s.endpoint(11).limitScope.controller
 		gap := seconds(1 / controller.rate)
 		if (controller.nextSend < b.now+gap) != (senders > smallFleet) {
@@ -191,12 +191,12 @@
 }
 
 // Where everything is refused, as in a hang with a full queue, hundreds of senders that each kept to minRate would
-// overload the endpoint as it returns. Seen on day h520c76 of scenario kl-head-office, found by a search for bad days.
+// overload the endpoint as it returns. Seen on day h520c76 of scenario kl-head-office, which "eiderlab hunt" found.
 func TestMinRateHoldsForFirstRefusalInARow(t *testing.T) {
 	b := newBench(t, func(s *Settings) { s.Senders = 261 })
 	for i, want := range []float64{minRate, 0.7, 0.49, 0.343, minRate} {
 		if i == 4 {
-			b.answered(11, safe, 0)
+			b.processAnswer(11, safe, 0)
 		}
 		b.s.now += 2 * sec
 		b.s.onRefusal(b.s.endpoint(11), b.s.now-10*ms, 0)
@@ -208,9 +208,9 @@
 
 // During a hang with a full queue a destination refuses all calls. The senders of a large fleet that have little
 // traffic have each seen a refusal or two when it returns, and all of them at their rates would overload it. Seen in
-// kernarchiv-hochdorf (the standard overload day) and dudley-yard-later (big-1), both after a hang of about 19 s.
-// The case in which each sender's first refusal comes in the last seconds of the hang was seen on day h5c6921 of
-// dudley-yard-later, found by a search for bad days.
+// scenarios kernarchiv-hochdorf (the standard overload day) and dudley-yard-later (day big-1), both after a hang of
+// about 19 s. The case in which each sender's first refusal comes in the last seconds of the hang was seen on day
+// h5c6921 of dudley-yard-later, which "eiderlab hunt" found.
 func TestLargeFleetStartsSlowAfterOutageOfRefusals(t *testing.T) {
 	const senders, outage, span = 100, 15 * sec, 2 * sec
 	for _, c := range []struct {
@@ -230,23 +230,24 @@
 			start := b.now
 			hang := func(EndpointID) reply {
 				if b.now-start < outage {
-					return reply{o: Refused, after: 50 * ms}
+					return reply{outcome: Refused, after: 50 * ms}
 				}
-				return reply{o: OK, after: 50 * ms}
+				return reply{outcome: OK, after: 50 * ms}
 			}
 			b.run(c.firstMessage(i), hang)
-			b.take(safe)
+			b.submit(safe)
 			if left := outage - 500*ms - (b.now - start); left > 0 {
 				b.run(left, hang)
 			}
-			b.take(safe)
+			b.submit(safe)
 			for _, at := range b.run(outage+span-(b.now-start), hang) {
 				if at >= start+outage {
 					calls++
 				}
 			}
 		}
-		// Budget of the return: overload factor 2 x cold share 0.2 x 10 calls a second x 2 s, half of it for these senders.
+		// Budget of the return: overload factor 2 x cold share 0.2 x 10 calls a second x 2 s, half of it for these
+		// senders.
 		if budget := 2 * 0.2 * 10 * span.Seconds() / 2; float64(calls) > budget {
 			t.Errorf("%s: senders that were refused made %d calls in the first %v after the return, want up to %.0f",
 				c.name, calls, span, budget)
--- a/rules/record_test.go
+++ b/rules/record_test.go
@@ -19,25 +19,25 @@
 func TestDormancyDoesNotChangeDecisions(t *testing.T) {
 	for seed := range uint64(16) {
 		n := 2 + int(seed)*4
-		var fleets []*fleet
+		var sources []*randomEvents
 		var senders []*Sender
 		var attempts []map[MessageID]int
 		for _, after := range []time.Duration{1e6 * sec, sec, 0} {
-			f := newFleet(seed, n)
-			s := New(f.set)
+			source := newRandomEvents(seed, n)
+			s := New(source.settings)
 			s.deactivateAfter = after
-			fleets = append(fleets, f)
+			sources = append(sources, source)
 			senders = append(senders, s)
 			attempts = append(attempts, map[MessageID]int{})
-			update := ListUpdate{Whole: true, Entries: slices.Clone(f.list)}
-			f.answer(s.Step(f.now, []Event{update}), attempts[len(attempts)-1])
+			update := ListUpdate{Whole: true, Entries: slices.Clone(source.entries)}
+			source.answer(s.Step(source.now, []Event{update}), attempts[len(attempts)-1])
 		}
 		dormant := 0
 		for step := range 2500 {
-			for i, f := range fleets {
-				f.log = f.log[:0]
-				f.answer(senders[i].Step(f.now, f.events(n)), attempts[i])
-				if diff := cmp.Diff(fleets[0].log, f.log); diff != "" {
+			for i, source := range sources {
+				source.log = source.log[:0]
+				source.answer(senders[i].Step(source.now, source.next(n)), attempts[i])
+				if diff := cmp.Diff(sources[0].log, source.log); diff != "" {
 					t.Fatalf("seed %d, step %d, deactivated after %v: %s", seed, step, senders[i].deactivateAfter, diff)
 				}
 			}
@@ -163,7 +163,7 @@
 		b.step(event)
 		checkDeactivation(b, true)
 		b.now += sec
-		id, out := b.take(safe)
+		id, out := b.submit(safe)
 		if out = append(out, b.wait(2900*ms)...); len(sends(out)) > 0 {
 			t.Errorf("%T: sent before the Retry-After ended: %v", event, out)
 		}
@@ -181,13 +181,13 @@
 		b := newBench(t, nil)
 		b.s.deactivateAfter = 1e6 * sec
 		for range 40 {
-			b.take(safe)
+			b.submit(safe)
 		}
-		b.run(8*sec, func(EndpointID) reply { return reply{o: ConnectError, after: ms} })
+		b.run(8*sec, func(EndpointID) reply { return reply{outcome: ConnectError, after: ms} })
 		for id := range b.s.held {
 			b.step(Withdrawn{ID: id})
 		}
-		b.run(2*sec, func(EndpointID) reply { return reply{o: ConnectError, after: ms} })
+		b.run(2*sec, func(EndpointID) reply { return reply{outcome: ConnectError, after: ms} })
 		if b.s.endpoint(11).health != probation {
 			t.Fatal("the endpoint is not on probation")
 		}
@@ -198,12 +198,12 @@
 		}
 		b.now += 10 * sec
 		for range 40 {
-			b.take(safe)
+			b.submit(safe)
 		}
 		if b.s.endpoint(11).health != probation {
 			t.Error("the endpoint is not on probation any more")
 		}
-		calls[deactivated] = b.run(12*sec, func(EndpointID) reply { return reply{o: OK, after: 20 * ms} })
+		calls[deactivated] = b.run(12*sec, func(EndpointID) reply { return reply{outcome: OK, after: 20 * ms} })
 	}
 	if diff := cmp.Diff(calls[0], calls[1]); diff != "" || len(calls[0]) < 20 {
 		t.Errorf("%d calls, want at least 20 and the same after deactivation: %s", len(calls[0]), diff)
@@ -214,7 +214,7 @@
 // whose message was withdrawn: the outcome of the call must still count.
 func TestDestinationWithCallInFlightStaysActive(t *testing.T) {
 	b := newBench(t, nil)
-	id, out := b.take(safe)
+	id, out := b.submit(safe)
 	if len(sends(out)) != 1 {
 		t.Fatalf("got %v, want a call", out)
 	}
@@ -267,7 +267,7 @@
 		for _, used := range []bool{false, true} {
 			b := newBench(t, nil)
 			if used {
-				id, _ := b.take(safe)
+				id, _ := b.submit(safe)
 				b.now += 30 * ms
 				b.step(AttemptEnded{ID: id, Endpoint: 11, Outcome: OK, Elapsed: 30 * ms, Finished: true})
 				checkDeactivation(b, true)
@@ -278,7 +278,7 @@
 			}
 			b.now += goneRetention
 			out := b.step(ListUpdate{})
-			_, more := b.take(safe)
+			_, more := b.submit(safe)
 			got := sends(more)
 			if len(got) > 0 != (c.sent > 0) || len(got) > 0 && got[0].Endpoint != c.sent || forgets(out) != c.forgot {
 				t.Errorf("%s, used %v: sent %v, forgotten %v; want a call to %d and %v",
@@ -306,7 +306,7 @@
 		}
 		b.step(l)
 		for i := range 40 {
-			m := b.arrive(safe)
+			m := b.newMessageID()
 			out := b.step(Arrived{ID: m, Destination: (round*40 + i) % destinations, Class: safe, TimeLeft: 16 * sec})
 			b.now += 5 * ms
 			for _, send := range sends(out) {
--- a/rules/restart_test.go
+++ b/rules/restart_test.go
@@ -6,7 +6,7 @@
 
 // arriveWithPrior submits a message for which an earlier process made attempts.
 func (b *bench) arriveWithPrior(class int, prior PriorAttempts) (MessageID, []Action) {
-	id := b.arrive(class)
+	id := b.newMessageID()
 	return id, b.step(Arrived{ID: id, Destination: 1, Class: class, TimeLeft: 10 * sec, Prior: prior})
 }
 
@@ -19,8 +19,8 @@
 		sends int
 		fails int
 	}{
-		"at most once, may have run": {once, mayHaveRun, 0, 1},
-		"at most once, never ran":    {once, PriorAttempts{Count: 1}, 1, 0},
+		"at most once, may have run": {atMostOnce, mayHaveRun, 0, 1},
+		"at most once, never ran":    {atMostOnce, PriorAttempts{Count: 1}, 1, 0},
 		"safe":                       {safe, mayHaveRun, 1, 0},
 		"keyed, within its window":   {keyed, mayHaveRun, 1, 0},
 		"keyed, after its window": {
@@ -37,7 +37,7 @@
 		if got := len(sends(out)); got != c.sends {
 			t.Errorf("%s: %d sends, want %d", name, got, c.sends)
 		}
-		if got := len(pick[Fail](out)); got != c.fails {
+		if got := len(actionsOf[Fail](out)); got != c.fails {
 			t.Errorf("%s: %d failures, want %d", name, got, c.fails)
 		}
 	}
@@ -52,18 +52,18 @@
 			for seed := range uint64(5) {
 				b := newBench(t, func(s *Settings) { s.Senders, s.Seed = senders, seed })
 				events := []Event{Arrived{
-					ID:          b.arrive(safe),
+					ID:          b.newMessageID(),
 					Destination: 1,
 					Class:       safe,
 					TimeLeft:    12 * sec,
 					Prior:       PriorAttempts{Count: failed, Failed: failed},
 				}}
 				for range 7 {
-					events = append(events, Arrived{ID: b.arrive(safe), Destination: 1, Class: safe, TimeLeft: 12 * sec})
+					events = append(events, Arrived{ID: b.newMessageID(), Destination: 1, Class: safe, TimeLeft: 12 * sec})
 				}
 				b.step(events...)
 				b.run(6*sec, always(OK, 50*ms))
-				if n := len(sends(b.log)); n < 7 {
+				if n := len(sends(b.actions)); n < 7 {
 					t.Errorf("%d senders, %d failures, seed %d: %d of 8 messages sent in half of their time, want 7",
 						senders, failed, seed, n)
 				}
@@ -79,8 +79,8 @@
 	if len(sends(out)) != 1 {
 		t.Fatalf("%d sends, want the last allowed attempt", len(sends(out)))
 	}
-	out = b.end(id, 5, 11, ConnectError)
-	if finals(out) != 1 || len(sends(out)) != 0 {
+	out = b.endAttempt(id, 5, 11, ConnectError)
+	if countFinalAnswers(out) != 1 || len(sends(out)) != 0 {
 		t.Errorf("got %v after the last attempt, want a final answer", out)
 	}
 }
@@ -89,7 +89,7 @@
 func TestExpiredMessageEndsAtOnceAfterRestart(t *testing.T) {
 	b := newBench(t, nil)
 	out := b.step(Arrived{ID: "x", Destination: 1, Class: safe, TimeLeft: -sec, Prior: PriorAttempts{Count: 1}})
-	if finals(out) != 1 || len(sends(out)) != 0 {
+	if countFinalAnswers(out) != 1 || len(sends(out)) != 0 {
 		t.Errorf("got %v, want one final answer", out)
 	}
 }
@@ -101,7 +101,7 @@
 		b := newBench(t, func(s *Settings) { s.Senders, s.RatesListed, s.RatesExact = c.senders, true, true },
 			Entry{Endpoint: 11, Destination: 1, ListedRate: 20})
 		b.step(RememberedOutage{Endpoint: 11, Age: 5 * sec, Rate: 0.3}, RememberedOutage{Endpoint: 99, Age: sec})
-		_, out := b.take(safe)
+		_, out := b.submit(safe)
 		if n := len(sends(out)); n != c.calls {
 			t.Errorf("%d senders: %d calls at once, want %d", c.senders, n, c.calls)
 		}
--- a/rules/retryafter_test.go
+++ b/rules/retryafter_test.go
@@ -23,9 +23,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			b := newBench(t, nil, Entry{Endpoint: 11, Destination: 1, Kind: c.kind},
 				Entry{Endpoint: 12, Destination: 1, Kind: c.kind})
-			id, out := b.take(safe)
+			id, out := b.submit(safe)
 			refusing := sends(out)[0].Endpoint
-			got := sends(b.end(id, 0, refusing, Refused, withRetryAfter(500*ms)))
+			got := sends(b.endAttempt(id, 0, refusing, Refused, withRetryAfter(500*ms)))
 			got = append(got, sends(b.wait(495*ms))...)
 			if len(got) != c.want {
 				t.Fatalf("%d sends before the Retry-After ends, want %d", len(got), c.want)
@@ -50,8 +50,8 @@
 		events = append(events, Arrived{ID: id, Destination: 1, TimeLeft: 16 * sec})
 	}
 	b.step(events...)
-	b.end("a", 0, 11, Refused)
-	b.end("b", 0, 11, Refused, withRetryAfter(sec))
+	b.endAttempt("a", 0, 11, Refused)
+	b.endAttempt("b", 0, 11, Refused, withRetryAfter(sec))
 	if got := sends(b.wait(995 * ms)); len(got) != 0 {
 		t.Errorf("%d sends before the Retry-After ends, want none", len(got))
 	}
@@ -61,9 +61,9 @@
 // accepted ones.
 func TestRetryAfterWithAnswerHolds(t *testing.T) {
 	b := newBench(t, nil)
-	id, _ := b.take(safe)
-	b.end(id, 0, 11, OK, func(e *AttemptEnded) { e.RetryAfter = 2 * sec })
-	_, out := b.take(safe)
+	id, _ := b.submit(safe)
+	b.endAttempt(id, 0, 11, OK, func(e *AttemptEnded) { e.RetryAfter = 2 * sec })
+	_, out := b.submit(safe)
 	if n := len(sends(append(out, b.wait(2*sec-10*ms)...))); n != 0 {
 		t.Errorf("%d sends before the Retry-After ends, want none", n)
 	}
@@ -77,14 +77,14 @@
 func TestRecalledMessageIsSentAgain(t *testing.T) {
 	for kind, elsewhere := range []int{0, 1} { // in kind 1 routes are apart
 		b := newBench(t, func(s *Settings) { s.MaxAttempts = 2 }, Entry{Endpoint: 11, Destination: 1, Kind: kind})
-		first, _ := b.take(safe)
-		id, _ := b.take(safe)
+		first, _ := b.submit(safe)
+		id, _ := b.submit(safe)
 		b.step(ListUpdate{Entries: []Entry{{Endpoint: 12, Destination: 1, Kind: kind}}})
-		recalls := pick[Recall](b.end(first, 0, 11, Refused, withRetryAfter(500*ms)))
+		recalls := actionsOf[Recall](b.endAttempt(first, 0, 11, Refused, withRetryAfter(500*ms)))
 		if len(recalls) != 1 || recalls[0] != (Recall{ID: id}) {
 			t.Fatalf("kind %d: recalls %v, want one of %s", kind, recalls, id)
 		}
-		got := sends(b.end(id, 0, 11, NotSent, func(e *AttemptEnded) { e.Recalled = true }))
+		got := sends(b.endAttempt(id, 0, 11, NotSent, func(e *AttemptEnded) { e.Recalled = true }))
 		got = append(got, sends(b.wait(495*ms))...)
 		if len(got) != elsewhere || b.s.endpoint(11).consecutiveFailures != 0 {
 			t.Errorf("kind %d: %d sends before the Retry-After ends, want %d; %d failures, want none",
@@ -187,7 +187,7 @@
 				}
 			}
 			for n := range rng.IntN(3) {
-				id := b.arrive(safe)
+				id := b.newMessageID()
 				messages[id] = &expectedMessage{destination: n, due: b.now + 16*sec}
 				events = append(events, Arrived{ID: id, Destination: n, Class: rng.IntN(5), TimeLeft: 16 * sec})
 			}
--- a/rules/rules_test.go
+++ b/rules/rules_test.go
@@ -13,22 +13,22 @@
 
 func TestWakeUpIsPendingWhileMessageIsHeld(t *testing.T) {
 	b := newBench(t, nil, Entry{Endpoint: 11, Destination: 2})
-	id := b.arrive(safe)
+	id := b.newMessageID()
 	b.s.endpoint(11).limitScope.controller.nextSend = b.now + 333*time.Nanosecond // not whole microseconds
 	b.step(Arrived{ID: id, Destination: 1, Class: safe, TimeLeft: 16 * sec})
 	var wakeUps []time.Duration // times of the wake-ups asked for, truncated to microseconds as on the wire
 	seen := 0
 	for range 2000 {
-		for _, w := range pick[WakeAfter](b.log[seen:]) {
+		for _, w := range actionsOf[WakeAfter](b.actions[seen:]) {
 			wakeUps = append(wakeUps, b.now+w.After.Truncate(time.Microsecond))
 		}
-		seen = len(b.log)
+		seen = len(b.actions)
 		if len(wakeUps) == 0 {
 			t.Fatal("no wake-up is pending while a message is held")
 		}
 		slices.Sort(wakeUps)
 		b.now, wakeUps = wakeUps[0], wakeUps[1:]
-		if finals(b.step(WakeUp{})) == 1 {
+		if countFinalAnswers(b.step(WakeUp{})) == 1 {
 			return
 		}
 	}
@@ -37,10 +37,10 @@
 
 func TestStrayEventsAreIgnored(t *testing.T) {
 	b := newBench(t, nil)
-	id, _ := b.take(safe)
-	b.end(id, 0, 11, OK)
+	id, _ := b.submit(safe)
+	b.endAttempt(id, 0, 11, OK)
 	for _, actions := range [][]Action{
-		b.end(id, 0, 11, OK), b.end(id, 5, 11, TimedOut), b.end("nobody", 0, 99, Refused),
+		b.endAttempt(id, 0, 11, OK), b.endAttempt(id, 5, 11, TimedOut), b.endAttempt("nobody", 0, 99, Refused),
 		b.step(StreamStarted{ID: "nobody"}),
 		b.step(Withdrawn{ID: "nobody"}), b.step(DiscoveryFailed{}), b.step(WakeUp{}),
 	} {
@@ -52,13 +52,13 @@
 
 func TestStreamedMessageIsLeftToClient(t *testing.T) {
 	b := newBench(t, nil)
-	id, _ := b.take(safe)
+	id, _ := b.submit(safe)
 	b.wait(50 * ms)
 	b.step(StreamStarted{ID: id})
-	if out := b.wait(30 * sec); finals(out)+len(sends(out))+len(pick[Cancel](out)) != 0 {
+	if out := b.wait(30 * sec); countFinalAnswers(out)+len(sends(out))+len(actionsOf[Cancel](out)) != 0 {
 		t.Errorf("actions on a streaming message: %v", out)
 	}
-	if got := b.end(id, 0, 11, Reset, func(e *AttemptEnded) { e.Finished = true }); finals(got) != 0 {
+	if got := b.endAttempt(id, 0, 11, Reset, func(e *AttemptEnded) { e.Finished = true }); countFinalAnswers(got) != 0 {
 		t.Error("a final answer followed a stream that the client already has")
 	}
 	if len(b.s.held) != 0 || len(b.s.calls) != 0 {
@@ -74,26 +74,26 @@
 		outcome Outcome
 		want    reaction
 	}{
-		{"safe error", safe, Errored, reaction{resent: true}},
-		{"safe time-out", safe, TimedOut, reaction{resent: true}},
-		{"once error", once, Errored, reaction{failed: true}},
-		{"once time-out", once, TimedOut, reaction{failed: true}},
-		{"once reset", once, Reset, reaction{failed: true}},
-		{"once cancelled", once, Cancelled, reaction{failed: true}},
-		{"once refused", once, Refused, reaction{resent: true}},
-		{"once no connection", once, ConnectError, reaction{resent: true}},
-		{"once not sent", once, NotSent, reaction{resent: true}},
-		{"keyed error in window", keyed, Errored, reaction{resent: true}},
+		{"safe, error", safe, Errored, reaction{resent: true}},
+		{"safe, time-out", safe, TimedOut, reaction{resent: true}},
+		{"at most once, error", atMostOnce, Errored, reaction{failed: true}},
+		{"at most once, time-out", atMostOnce, TimedOut, reaction{failed: true}},
+		{"at most once, reset", atMostOnce, Reset, reaction{failed: true}},
+		{"at most once, cancelled", atMostOnce, Cancelled, reaction{failed: true}},
+		{"at most once, refused", atMostOnce, Refused, reaction{resent: true}},
+		{"at most once, no connection", atMostOnce, ConnectError, reaction{resent: true}},
+		{"at most once, not sent", atMostOnce, NotSent, reaction{resent: true}},
+		{"keyed, error within its window", keyed, Errored, reaction{resent: true}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := newBench(t, nil)
 			b.serve(2, safe, 11)
-			id, _ := b.take(c.class)
-			out := append(b.end(id, 0, 11, c.outcome), b.wait(2*sec)...)
+			id, _ := b.submit(c.class)
+			out := append(b.endAttempt(id, 0, 11, c.outcome), b.wait(2*sec)...)
 			got := reaction{
 				resent:  len(sends(out)) > 0,
-				refused: len(pick[Refuse](out)) > 0,
-				failed:  len(pick[Fail](out)) > 0,
+				refused: len(actionsOf[Refuse](out)) > 0,
+				failed:  len(actionsOf[Fail](out)) > 0,
 			}
 			if got != c.want {
 				t.Errorf("got %+v, want %+v", got, c.want)
@@ -103,9 +103,9 @@
 }
 
 func TestOneAttemptInFlightPerMessage(t *testing.T) {
-	for _, class := range []int{safe, once, keyed, ordered} {
+	for _, class := range []int{safe, atMostOnce, keyed, ordered} {
 		b := newBench(t, nil, Entry{Endpoint: 11, Destination: 1}, Entry{Endpoint: 12, Destination: 1})
-		id, _ := b.take(class)
+		id, _ := b.submit(class)
 		m := b.s.held[id]
 		for _, ep := range b.s.destination(1).endpoints {
 			if b.s.maySend(m, ep) {
@@ -120,7 +120,7 @@
 
 func TestKeyedRetryOnlyWithinDedupWindow(t *testing.T) {
 	b := newBench(t, nil)
-	id, _ := b.take(keyed)
+	id, _ := b.submit(keyed)
 	m := b.s.held[id]
 	ep := b.s.endpoint(11)
 	m.inFlight, m.mayHaveRunSince, m.mayHaveRunOn = nil, b.now, ep
@@ -139,10 +139,10 @@
 // A retry must be written within what is left of its deduplication window, as its connection may come up after
 // the window ends. First attempts and classes without a key have no such limit.
 func TestKeyedRetryIsWrittenWithinDedupWindow(t *testing.T) {
-	for class, limited := range []bool{safe: false, keyed: true, once: false} {
+	for class, limited := range []bool{safe: false, keyed: true, atMostOnce: false} {
 		b := newBench(t, nil)
 		b.serve(20, safe, 11)
-		id, out := b.take(class)
+		id, out := b.submit(class)
 		first := sends(out)
 		if len(first) != 1 || first[0].WriteWithin != 0 {
 			t.Fatalf("class %d: first attempt %+v, want one without a limit on its writing", class, first)
@@ -163,7 +163,7 @@
 					class, retry.WriteWithin, left)
 			}
 		}
-		if retries := len(sends(out)); (retries == 1) != (class != once) {
+		if retries := len(sends(out)); (retries == 1) != (class != atMostOnce) {
 			t.Errorf("class %d: %d retries", class, retries)
 		}
 	}
@@ -186,7 +186,7 @@
 		{keyedZone, 11, true},
 	} {
 		b := newBench(t, nil, entries...)
-		id, _ := b.take(c.class)
+		id, _ := b.submit(c.class)
 		m := b.s.held[id]
 		if m.inFlight = nil; !b.s.maySend(m, b.s.endpoint(c.endpoint)) {
 			t.Errorf("class %d: endpoint %d is not allowed before any attempt may have run", c.class, c.endpoint)
@@ -209,7 +209,7 @@
 	} {
 		b := newBench(t, nil)
 		b.step(list)
-		if _, out := b.take(safe); len(sends(out))+len(sends(b.wait(3*sec))) != 0 {
+		if _, out := b.submit(safe); len(sends(out))+len(sends(b.wait(3*sec))) != 0 {
 			t.Errorf("%s: a message was sent", name)
 		}
 		out := b.step(ListUpdate{Entries: []Entry{{Endpoint: 12, Destination: 1}}})
@@ -221,16 +221,16 @@
 
 func TestWatchIsRetriedAfterDiscoveryFailure(t *testing.T) {
 	b := newBench(t, func(s *Settings) { s.WatchesRegistry, s.WatchInterval = true, 10*sec })
-	if len(pick[Watch](b.log)) != 1 {
+	if len(actionsOf[Watch](b.actions)) != 1 {
 		t.Fatal("discovery is not watched from the start")
 	}
 	b.step(DiscoveryFailed{})
-	if got := len(pick[Watch](b.wait(5 * sec))); got != 1 {
+	if got := len(actionsOf[Watch](b.wait(5 * sec))); got != 1 {
 		t.Errorf("%d watches after a failure, want 1", got)
 	}
 	b = newBench(t, nil)
 	b.step(DiscoveryFailed{})
-	if got := len(pick[Watch](append(b.log, b.wait(5*sec)...))); got != 0 {
+	if got := len(actionsOf[Watch](append(b.actions, b.wait(5*sec)...))); got != 0 {
 		t.Error("a discovery that pushes its changes was watched")
 	}
 }
@@ -247,20 +247,20 @@
 			Entry{Endpoint: 31, Destination: 3, Kind: 2})
 		script := func(EndpointID) reply {
 			if rng.IntN(8) == 0 {
-				return reply{o: Outcome(1 + rng.IntN(5)), after: 30 * ms}
+				return reply{outcome: Outcome(1 + rng.IntN(5)), after: 30 * ms}
 			}
-			return reply{o: OK, after: time.Duration(20+rng.IntN(200)) * ms}
+			return reply{outcome: OK, after: time.Duration(20+rng.IntN(200)) * ms}
 		}
 		for range 300 { // attempts still in flight after a run get an answer in the next
 			b.step(Arrived{
-				ID:          b.arrive(0),
+				ID:          b.newMessageID(),
 				Destination: 1 + rng.IntN(3),
 				Class:       rng.IntN(3),
 				TimeLeft:    16 * sec,
 			})
 			b.run(100*ms, script)
 		}
-		return b.log
+		return b.actions
 	}
 	first, second := run(), run()
 	if len(sends(first)) < 150 {
--- a/rules/scheduling_test.go
+++ b/rules/scheduling_test.go
@@ -17,11 +17,11 @@
 		len(sends(submit("c", "l"))) != 1 || len(sends(submit("d", ""))) != 1 {
 		t.Fatal("want the first message of each key and the one without a key sent, and no other")
 	}
-	out := append(b.end("a", 0, 11, Errored), b.wait(50*ms)...)
+	out := append(b.endAttempt("a", 0, 11, Errored), b.wait(50*ms)...)
 	if len(sends(out)) != 1 || sends(out)[0].ID != "a" {
 		t.Fatalf("got %v, want the first message of the key sent again", out)
 	}
-	out = b.end("a", 1, 11, OK)
+	out = b.endAttempt("a", 1, 11, OK)
 	if len(sends(out)) != 1 || sends(out)[0].ID != "b" {
 		t.Fatalf("got %v, want the next message of the key sent", out)
 	}
@@ -36,7 +36,7 @@
 	if got := sends(b.wait(sec)); len(got) != 0 {
 		t.Fatal("sent while an attempt of an earlier message is in flight")
 	}
-	b.end("a", 0, 11, TimedOut, func(e *AttemptEnded) { e.Finished = true })
+	b.endAttempt("a", 0, 11, TimedOut, func(e *AttemptEnded) { e.Finished = true })
 	if got := sends(b.wait(490 * ms)); len(got) != 0 {
 		t.Error("sent before the pause of the order key ended")
 	}
@@ -49,7 +49,7 @@
 	b := newBench(t, nil, Entry{Endpoint: 11, Destination: 1}, Entry{Endpoint: 21, Destination: 2})
 	n := 0
 	for range 20 {
-		_, out := b.take(safe)
+		_, out := b.submit(safe)
 		n += len(sends(out))
 	}
 	if want := int(maxScopeSlotShare * 10); n != want {
@@ -63,26 +63,26 @@
 func TestOldestOverdueCallIsCancelledForItsSlot(t *testing.T) {
 	b := newBench(t, func(s *Settings) { s.Slots = 2 }, Entry{Endpoint: 11, Destination: 1},
 		Entry{Endpoint: 21, Destination: 2})
-	b.take(once)
-	b.take(once)
+	b.submit(atMostOnce)
+	b.submit(atMostOnce)
 	b.wait(timeoutFactor*initialLateAfter + sec)
 	out := b.step(Arrived{ID: "x", Destination: 2, TimeLeft: 16 * sec})
-	if got := pick[Cancel](out); len(got) != 1 {
+	if got := actionsOf[Cancel](out); len(got) != 1 {
 		t.Fatalf("cancelled %v, want the oldest overdue call", got)
 	}
-	out = b.end("m1", 0, 11, Cancelled)
-	if len(pick[Fail](out)) != 1 || len(sends(out)) != 1 {
+	out = b.endAttempt("m1", 0, 11, Cancelled)
+	if len(actionsOf[Fail](out)) != 1 || len(sends(out)) != 1 {
 		t.Errorf("got %v, want the cancelled message failed and the waiting one sent", out)
 	}
 }
 
 func TestMessageThatLosesMostWorthGoesFirst(t *testing.T) {
 	b := newBench(t, func(s *Settings) { s.Slots = 1 })
-	b.take(safe)
+	b.submit(safe)
 	b.step(Arrived{ID: "old", Destination: 1, TimeLeft: 6 * sec})         // long late: its worth is at its floor
 	b.step(Arrived{ID: "due", Destination: 1, TimeLeft: 14*sec + 200*ms}) // about to pass its aim: loses most
 	b.step(Arrived{ID: "fresh", Destination: 1, TimeLeft: 16 * sec})      // can wait
-	if out := sends(b.end("m1", 0, 11, OK)); len(out) != 1 || out[0].ID != "due" {
+	if out := sends(b.endAttempt("m1", 0, 11, OK)); len(out) != 1 || out[0].ID != "due" {
 		t.Errorf("sent %v, want the message that is about to be late", out)
 	}
 }
@@ -118,12 +118,12 @@
 func TestTenantOverItsShareHasLowerWeight(t *testing.T) {
 	b := newBench(t, func(s *Settings) { s.Tenants = []Tenant{{Quota: 10}, {Quota: 10}} })
 	for i := range 12 {
-		b.step(Arrived{ID: b.arrive(safe), Destination: 1, Tenant: min(i%4, 1), TimeLeft: 16 * sec})
+		b.step(Arrived{ID: b.newMessageID(), Destination: 1, Tenant: min(i%4, 1), TimeLeft: 16 * sec})
 	}
 	if over, within := b.s.tenantWeight(1), b.s.tenantWeight(0); over >= within || within != 1 || over < 0.2 {
 		t.Errorf("weights %.2f within the share and %.2f over it", within, over)
 	}
-	b.step(Arrived{ID: b.arrive(safe), Destination: 1, Tenant: 2, TimeLeft: 16 * sec})
+	b.step(Arrived{ID: b.newMessageID(), Destination: 1, Tenant: 2, TimeLeft: 16 * sec})
 	unlisted, noTenants := b.s.tenantWeight(2), newBench(t, nil).s.tenantWeight(0)
 	if unlisted != b.s.settings.OverShareWorth || noTenants != 1 {
 		t.Errorf("weights %.2f of an unlisted tenant and %.2f without tenants, want %.2f and 1",
@@ -136,8 +136,8 @@
 	b.s.startProbation(b.s.endpoint(11), Errored, CauseFailures)
 	b.s.endpoint(11).lastCharged = b.now
 	b.s.endpoint(11).failingSince = b.now - 10*sec
-	b.take(once)
-	id, _ := b.take(safe)
+	b.submit(atMostOnce)
+	id, _ := b.submit(safe)
 	if out := sends(b.wait(2*sec + 5*ms)); len(out) != 1 || out[0].ID != id {
 		t.Errorf("probe %v, want one with the safe message", out)
 	}
@@ -156,7 +156,7 @@
 		b.wait(10 * sec)
 		var events []Event
 		for range c.messages {
-			events = append(events, Arrived{ID: b.arrive(safe), Destination: 1, TimeLeft: 16 * sec})
+			events = append(events, Arrived{ID: b.newMessageID(), Destination: 1, TimeLeft: 16 * sec})
 		}
 		out := b.step(events...)
 		if n := len(sends(out)); n != c.want {
@@ -164,10 +164,10 @@
 		}
 		if c.messages == messagesPerConnection-1 && c.senders > smallFleet {
 			// The connection carries the next message before it is closed.
-			out = b.end("m1", 0, 11, OK)
-			if len(sends(out)) != 1 || len(pick[CloseIdle](out)) != 0 {
+			out = b.endAttempt("m1", 0, 11, OK)
+			if len(sends(out)) != 1 || len(actionsOf[CloseIdle](out)) != 0 {
 				t.Errorf("after an answer: %d calls, %d closes of connections, want 1 call on the same connection",
-					len(sends(out)), len(pick[CloseIdle](out)))
+					len(sends(out)), len(actionsOf[CloseIdle](out)))
 			}
 		}
 	}
@@ -183,23 +183,23 @@
 	}{
 		{300, safe, true},
 		{300, keyed, true},
-		{300, once, true},
+		{300, atMostOnce, true},
 		{3, safe, true},
 		{3, keyed, true},
-		{3, once, true},
+		{3, atMostOnce, true},
 	} {
 		b := newBench(t, func(s *Settings) { s.Senders, s.Slots = c.senders, 3 }, Entry{Endpoint: 11, Destination: 1},
 			Entry{Endpoint: 21, Destination: 2})
 		b.serve(5, safe, 11)
 		b.serve(1, safe, 11)
 		late := b.s.lateAfter(b.s.endpoint(11), safe)
-		overdue, _ := b.take(c.class)
-		b.take(c.class)
-		id := b.arrive(safe)
-		b.step(Arrived{ID: id, Destination: 2, Class: once, TimeLeft: 16 * sec})
-		id = b.arrive(safe)
+		overdue, _ := b.submit(c.class)
+		b.submit(c.class)
+		id := b.newMessageID()
+		b.step(Arrived{ID: id, Destination: 2, Class: atMostOnce, TimeLeft: 16 * sec})
+		id = b.newMessageID()
 		b.step(Arrived{ID: id, Destination: 2, Class: safe, TimeLeft: 16 * sec})
-		cancels := pick[Cancel](b.wait(longOverdueFactor*late + late/2))
+		cancels := actionsOf[Cancel](b.wait(longOverdueFactor*late + late/2))
 		if got := len(cancels) > 0 && cancels[0].ID == overdue; got != c.want {
 			t.Errorf("%d senders, class %d: cancelled %v; %s first %v, want %v",
 				c.senders, c.class, cancels, overdue, got, c.want)
@@ -216,8 +216,8 @@
 	b := newBench(t, func(s *Settings) { s.Senders, s.MayShareHints = 200, true }, entries...)
 	expectCalls := func(why string, destination, want int) {
 		t.Helper()
-		id := b.arrive(once)
-		out := b.step(Arrived{ID: id, Destination: destination, Class: once, TimeLeft: 16 * sec})
+		id := b.newMessageID()
+		out := b.step(Arrived{ID: id, Destination: destination, Class: atMostOnce, TimeLeft: 16 * sec})
 		if n := len(sends(out)); n != want {
 			t.Errorf("%s: %d calls, want %d", why, n, want)
 		}
@@ -225,7 +225,7 @@
 	expectCalls("healthy", 0, 1)
 	expectCalls("healthy", 1, 1)
 	b.wait(initialLateAfter + 10*ms)
-	b.step(HintReceived{Hint{Endpoint: 17, Class: once}}, HintReceived{Hint{Endpoint: 17, Class: once}})
+	b.step(HintReceived{Hint{Endpoint: 17, Class: atMostOnce}}, HintReceived{Hint{Endpoint: 17, Class: atMostOnce}})
 	expectCalls("unhealthy, with overdue calls in a fifth of the slots", 0, 0)
 	expectCalls("unhealthy by hints of other senders", 7, 0)
 	expectCalls("healthy", 5, 1)
@@ -237,16 +237,16 @@
 	b := newBench(t, nil)
 	b.serve(3, safe, 11) // answers after 100 ms, so lateAfter is half a second
 	b.step(ShuttingDown{After: 2 * sec})
-	if _, out := b.take(once); len(sends(out)) != 1 {
+	if _, out := b.submit(atMostOnce); len(sends(out)) != 1 {
 		t.Errorf("with enough time: got %v, want the message sent", out)
 	}
 	b.wait(1600 * ms)
-	_, out := b.take(once)
+	_, out := b.submit(atMostOnce)
 	out = append(out, b.wait(300*ms)...)
-	if len(sends(out)) != 0 || finals(out) != 0 {
+	if len(sends(out)) != 0 || countFinalAnswers(out) != 0 {
 		t.Errorf("just before the end: got %v, want the message held", out)
 	}
-	if _, out := b.take(safe); len(sends(out)) != 1 {
+	if _, out := b.submit(safe); len(sends(out)) != 1 {
 		t.Errorf("just before the end, repeatable: got %v, want the message sent", out)
 	}
 }
@@ -256,7 +256,7 @@
 func TestMessagesWaitForBatch(t *testing.T) {
 	batched := Entry{Endpoint: 11, Destination: 1, Kind: 2}
 	b := newBench(t, nil, batched)
-	_, out := b.take(safe)
+	_, out := b.submit(safe)
 	wait := b.s.settings.Classes[safe].Aim / batchWaitDivisor
 	if got := append(sends(out), sends(b.wait(wait-10*ms))...); len(got) != 0 {
 		t.Fatalf("%d sends of a single message before its wait ended", len(got))
@@ -265,20 +265,20 @@
 	if len(got) != 1 {
 		t.Fatalf("%d sends of a single message after its wait, want 1", len(got))
 	}
-	if again := sends(b.end(got[0].ID, 0, 11, Errored)); len(again) != 1 {
+	if again := sends(b.endAttempt(got[0].ID, 0, 11, Errored)); len(again) != 1 {
 		t.Error("a message that has been sent before waits again")
 	}
 
 	b = newBench(t, nil, batched)
 	for i := range 4 {
-		_, out = b.take(safe)
+		_, out = b.submit(safe)
 		if want := []int{0, 0, 0, 4}[i]; len(sends(out)) != want {
 			t.Errorf("%d sends with %d messages waiting, want %d", len(sends(out)), i+1, want)
 		}
 	}
 
 	b = newBench(t, nil)
-	if _, out := b.take(safe); len(sends(out)) != 1 {
+	if _, out := b.submit(safe); len(sends(out)) != 1 {
 		t.Error("a message waits where a call carries one message")
 	}
 }
@@ -289,7 +289,7 @@
 		b := newBench(t, func(s *Settings) { s.ZoneCosts = costs },
 			Entry{Endpoint: 11, Destination: 1, Kind: 1, Zone: 0},
 			Entry{Endpoint: 12, Destination: 1, Kind: 1, Zone: 1})
-		_, out := b.take(safe)
+		_, out := b.submit(safe)
 		want := EndpointID(12)
 		if costs[0] == 0 {
 			want = 11
--- a/rules/slowstart_test.go
+++ b/rules/slowstart_test.go
@@ -25,14 +25,14 @@
 		b.serve(100, safe, 11) // ten calls a second
 		before := b.s.endpoint(11).deliveredRate.perSecond(b.now, trafficSpan)
 		for range 60 {
-			b.take(safe)
+			b.submit(safe)
 		}
 		outageEnd := b.now + 8*sec
 		script := func(EndpointID) reply {
 			if b.now < outageEnd {
-				return reply{o: o, after: 50 * ms}
+				return reply{outcome: o, after: 50 * ms}
 			}
-			return reply{o: OK, after: 50 * ms}
+			return reply{outcome: OK, after: 50 * ms}
 		}
 		calls := b.run(18*sec, script)
 		for i, from := range calls {
@@ -56,7 +56,7 @@
 
 func TestProbeIntervalGrowsWithOutage(t *testing.T) {
 	b := newBench(t, func(s *Settings) { s.MaxAttempts = 100 })
-	b.take(safe)
+	b.submit(safe)
 	probes := b.run(12*sec, always(ConnectError, 10*ms))
 	if len(probes) < 5 {
 		t.Fatalf("%d probes in 12 s, want at least 5", len(probes))
@@ -71,12 +71,12 @@
 
 func TestProbesLeaveTheLastAttempt(t *testing.T) {
 	b := newBench(t, nil)
-	b.take(safe)
+	b.submit(safe)
 	b.run(12*sec, always(ConnectError, 10*ms))
 	if len(b.s.held) != 1 || b.s.held["m1"].attemptCount != 5 {
 		t.Fatal("probes used up the message's last attempt")
 	}
-	if b.take(safe); b.s.held["m2"] == nil {
+	if b.submit(safe); b.s.held["m2"] == nil {
 		t.Fatal("the next message is not held")
 	}
 	b.run(15*sec, always(OK, 10*ms))
@@ -92,7 +92,7 @@
 	ep.failingSince = b.now
 	b.s.startProbation(ep, Reset, CauseFailures)
 	b.wait(6 * sec)
-	b.answered(11, safe, 0)
+	b.processAnswer(11, safe, 0)
 	if ep.health != slowStart {
 		t.Fatalf("health %d after a probe succeeded, want slow start", ep.health)
 	}
@@ -109,7 +109,7 @@
 		t.Errorf("interval %v when cold and %v from halfway on, want a third", cold, b.s.callInterval(ep))
 	}
 	b.s.now += 6 * sec
-	b.answered(11, safe, 0)
+	b.processAnswer(11, safe, 0)
 	if ep.health != healthy {
 		t.Errorf("health %d after the warm-up, want healthy", ep.health)
 	}
@@ -126,7 +126,7 @@
 func TestBacklogLeavesAtSlowStartRate(t *testing.T) {
 	b := largeFleetBench(t)
 	for range 6 {
-		b.take(safe)
+		b.submit(safe)
 	}
 	ep := b.s.endpoint(11)
 	b.run(sec, always(ConnectError, 5*ms))
@@ -136,12 +136,12 @@
 	ep.failingSince = b.now - 8*sec // too long ago for the endpoint to be still warm
 	ep.lastCharged = b.now - ep.probeInterval
 	ep.destination.retryNotBefore = b.now
-	before := len(sends(b.log))
+	before := len(sends(b.actions))
 	for range 6 {
-		b.take(safe)
+		b.submit(safe)
 	}
 	b.run(sec, always(OK, 20*ms))
-	if n := len(sends(b.log)) - before; ep.health != slowStart || n < 1 || n > 2 {
+	if n := len(sends(b.actions)) - before; ep.health != slowStart || n < 1 || n > 2 {
 		t.Errorf("health %d, %d calls in the second after the return, want slow start with one or two", ep.health, n)
 	}
 }
@@ -151,13 +151,13 @@
 func TestNoCallFollowsAtOnceWhenHangEnds(t *testing.T) {
 	for _, outcome := range []Outcome{Reset, TimedOut, Cancelled, ConnectError} {
 		b := largeFleetBench(t)
-		id, _ := b.take(safe)
+		id, _ := b.submit(safe)
 		ep := b.s.endpoint(11)
 		b.s.now = b.now
 		b.s.startProbation(ep, TimedOut, CauseUnresponsive)
 		ep.lastCharged = b.now - 100*sec
 		b.now += 20 * sec
-		b.end(id, 0, 11, outcome)
+		b.endAttempt(id, 0, 11, outcome)
 		if at := b.s.slowStartAdmits(ep); at <= b.now {
 			t.Errorf("outcome %d: the next call may leave at %v, %v after it", outcome, at, at-b.now)
 		}
@@ -168,11 +168,11 @@
 func TestBlockedShareIsNotSavedUp(t *testing.T) {
 	b := newBench(t, func(s *Settings) { s.Senders, s.Slots, s.RatesListed, s.RatesExact = 300, 1, true, true },
 		Entry{Endpoint: 11, Destination: 1, ListedRate: 20}, Entry{Endpoint: 12, Destination: 2, ListedRate: 20})
-	b.step(Arrived{ID: "slot", Destination: 2, Class: once, TimeLeft: 16 * sec})
+	b.step(Arrived{ID: "slot", Destination: 2, Class: atMostOnce, TimeLeft: 16 * sec})
 	ep := b.s.endpoint(11)
 	b.s.startProbation(ep, ConnectError, CauseFailures)
 	ep.lastCharged = b.now - 100*sec
-	b.take(safe)
+	b.submit(safe)
 	if at := b.s.slowStartAdmits(ep); at <= b.now {
 		t.Errorf("the share was saved up while no slot was free: the next call may leave at %v, now is %v", at, b.now)
 	}
@@ -189,7 +189,7 @@
 	b.s.startProbation(other, Reset, CauseFailures)
 	b.now += 6 * sec
 	b.step(WakeUp{})
-	b.answered(11, safe, 0)
+	b.processAnswer(11, safe, 0)
 	if answering.health != slowStart || b.now-answering.healthSince != 3*sec {
 		t.Errorf("health %d for %v, want slow start for 3s", answering.health, b.now-answering.healthSince)
 	}
@@ -209,7 +209,7 @@
 	b.s.startProbation(ep, Errored, CauseFailures)
 	b.now += 6 * sec
 	b.step(WakeUp{})
-	b.answered(11, safe, 0)
+	b.processAnswer(11, safe, 0)
 	b.now += 9 * sec
 	b.step(WakeUp{})
 	b.s.onFailure(ep, b.now-10*ms, Errored)
@@ -219,7 +219,7 @@
 	}
 	b.now += 2 * sec
 	b.step(WakeUp{})
-	b.answered(11, safe, 0)
+	b.processAnswer(11, safe, 0)
 	if ep.health != slowStart {
 		t.Errorf("health %d two seconds after a failure, want slow start", ep.health)
 	}
--- a/rules/suspicion_test.go
+++ b/rules/suspicion_test.go
@@ -10,13 +10,13 @@
 // After a failure a single call goes out, and the other held messages wait for its outcome.
 func TestOneCallWhileSuspected(t *testing.T) {
 	b := largeFleetBench(t)
-	id, out := b.take(safe)
+	id, out := b.submit(safe)
 	if len(sends(out)) != 1 {
 		t.Fatalf("got %v, want a call", out)
 	}
-	b.end(id, 0, 11, ConnectError)
+	b.endAttempt(id, 0, 11, ConnectError)
 	for range 3 {
-		b.take(safe)
+		b.submit(safe)
 	}
 	if n := len(sends(b.wait(2 * sec))); n != 1 {
 		t.Errorf("%d calls to a suspected endpoint, want 1", n)
@@ -40,10 +40,10 @@
 	} {
 		b := newBench(t, func(s *Settings) { s.Senders, s.RatesListed, s.RatesExact = c.senders, true, true },
 			Entry{Endpoint: 11, Destination: 1, ListedRate: 20})
-		id, _ := b.take(once)
-		b.end(id, 0, 11, Errored) // the message may have run, and is not sent again
+		id, _ := b.submit(atMostOnce)
+		b.endAttempt(id, 0, 11, Errored) // the message may have run, and is not sent again
 		b.now = max(b.s.endpoint(11).destination.retryNotBefore, b.now+c.idle)
-		_, out := b.take(safe)
+		_, out := b.submit(safe)
 		if got := len(sends(out)); got != c.calls {
 			t.Errorf("%s: %d calls, want %d", c.name, got, c.calls)
 		}
@@ -73,7 +73,7 @@
 		b.s.onFailure(ep, b.now-c.age, TimedOut)
 		b.now += 100 * ms
 		b.step(WakeUp{})
-		b.answered(11, safe, 20*ms)
+		b.processAnswer(11, safe, 20*ms)
 		if ep.health != c.want || c.want == slowStart && b.now-ep.healthSince > c.age/2+sec {
 			t.Errorf("%s: health %d for %v, want %d for %v", c.name, ep.health, b.now-ep.healthSince, c.want, c.age/2)
 		}
@@ -86,8 +86,8 @@
 	callsWith := func(senders int) int {
 		b := newBench(t, func(s *Settings) { s.Senders = senders; s.MaxAttempts = 100 },
 			Entry{Endpoint: 11, Destination: 1}, Entry{Endpoint: 12, Destination: 1})
-		b.take(safe)
-		b.end("m1", 0, 11, ConnectError)
+		b.submit(safe)
+		b.endAttempt("m1", 0, 11, ConnectError)
 		return len(b.run(2*sec, always(ConnectError, 30*ms)))
 	}
 	small, large := callsWith(2), callsWith(300)
@@ -103,7 +103,7 @@
 		b := newBench(t, largeFleet, entries...)
 		b.step(Arrived{ID: "m", Destination: 1, Class: safe, TimeLeft: 16 * sec})
 		ep := b.s.held["m"].inFlight[0].call.endpoint
-		b.end("m", 0, ep.id, ConnectError)
+		b.endAttempt("m", 0, ep.id, ConnectError)
 		return b.s.destination(1).retryNotBefore - b.now
 	}
 	alone := pause(Entry{Endpoint: 11, Destination: 1})
@@ -119,8 +119,8 @@
 	for _, c := range []struct{ senders, kind, want int }{{300, 0, 1}, {300, 1, 0}, {3, 0, 0}} {
 		b := newBench(t, func(s *Settings) { s.Senders = c.senders },
 			Entry{Endpoint: 11, Destination: 1, Kind: c.kind})
-		id, _ := b.take(safe)
-		b.end(id, 0, 11, ConnectError)
+		id, _ := b.submit(safe)
+		b.endAttempt(id, 0, 11, ConnectError)
 		b.step(ListUpdate{Entries: []Entry{{Endpoint: 12, Destination: 1, Kind: c.kind}}})
 		if got := b.s.endpoint(12).consecutiveFailures; got != c.want {
 			t.Errorf("%d senders, kind %d: the new endpoint has %d failures, want %d", c.senders, c.kind, got, c.want)
